--- a/include/cometdeal/aggregator.hpp
+++ b/include/cometdeal/aggregator.hpp
@@ -194,8 +194,8 @@
   std::vector<Action> react(Micros now, std::span<const Event> events);
 
  private:
-  struct Brain;
-  std::unique_ptr<Brain> brain_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace cometdeal
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -1,4 +1,5 @@
-// Every decision of cometdeal. Interface: include/cometdeal/aggregator.hpp. Reasons: docs/design.md.
+// The decision module: hedging, retries, admission control, outlier ejection, placement and final answers.
+// Interface: include/cometdeal/aggregator.hpp. Reasons for the design: docs/design.md.
 #include <algorithm>
 #include <cmath>
 #include <cometdeal/aggregator.hpp>
@@ -10,141 +11,223 @@
 namespace cometdeal {
 namespace {
 
-constexpr Micros kMs = 1000, kSecond = 1000 * kMs, kNever = INT64_MAX / 4;
+constexpr Micros kMs = 1000;
+constexpr Micros kSecond = 1000 * kMs;
+constexpr Micros kNever = INT64_MAX / 4;
 
-// The design's own figures: hedge delay and token bucket.
+// Hedge delay of a class: the higher 95th percentile of a long and a short window of recent latencies, at
+// least kMinHedgeDelay.
 constexpr double kHedgePercentile = 0.95;
-constexpr std::size_t kSampleWindow = 1000;  // recent part latencies of a class
-constexpr std::size_t kNewestWindow = 60;    // the same, to follow at once what slows all servers together
-constexpr Micros kNewestSpan = 2 * kSecond;
-constexpr std::size_t kMinSamples = 10;  // before that, the delay is aim / kStartDelayParts
-constexpr Micros kStartDelayParts = 5, kMinDelay = 1 * kMs;
-constexpr double kBucketSize = 10.0, kBucketEarn = 0.1, kBucketCost = 1.0;
-constexpr int kOverflowFactor = 2, kOverflowPlus = 1;  // home is left at load > factor x mean + plus
+constexpr std::size_t kLongWindowSamples = 1000;
+// The short window makes the delay follow a slowdown of all servers at once.
+constexpr std::size_t kShortWindowSamples = 60;
+constexpr Micros kShortWindowSpan = 2 * kSecond;
+// With fewer samples, the hedge delay is the aim of the class divided by kInitialDelayDivisor.
+constexpr std::size_t kMinSamples = 10;
+constexpr Micros kInitialDelayDivisor = 5;
+constexpr Micros kMinHedgeDelay = 1 * kMs;
 
-constexpr Micros kLook = 10 * kMs;  // how often open queries are looked at; 5 to 20 ms make no difference
-// Between two looks at all of them at least this share of a tick, and so much for each: or a jam feeds
-// itself.
-constexpr double kLookShare = 0.8;
-constexpr Micros kLookEach = 20;
-constexpr int kEndTicks = 3;            // final answers go this many ticks ahead of a time limit ...
-constexpr Micros kEndMargin = 5 * kMs;  // ... plus this for the way to the client
-constexpr double kWeightSlack = 1e-6;   // sums of weights are rounded
+// Token bucket that limits hedges, retries and probes of a class; credited for each served part.
+constexpr double kBucketCapacity = 10.0;
+constexpr double kBucketCredit = 0.1;
+constexpr double kBucketCost = 1.0;
 
-// Health. A server is in doubt when it says nothing for kSilentDelays hedge delays while owing answers, or
-// does not connect. A part that it fails or refuses counts as one that took kFailureRatio times the median.
-constexpr double kSilentDelays = 2.0, kFailureRatio = 5.0;
-constexpr double kLatencyGain = 0.2;  // weight of the newest latency in a server's mean
-constexpr double kPrior = 1.0;        // latencies that the peers' median counts for
-constexpr int kIdleWitnesses = 2, kDeathServers = 2;
-constexpr Micros kOutliveSpan = 2 * kSecond;  // a server that serves so soon after a reset has outlived it
-constexpr Micros kIdleSpan = 10 * kSecond, kDeathSpan = 10 * kSecond, kIdleDistrust = 30 * kSecond;
-constexpr Micros kIdleLeast = 800 * kMs, kSlowConnect = 100 * kMs;   // unused for less: as good as busy
-constexpr Micros kTrialFirst = 500 * kMs, kTrialMost = 4 * kSecond;  // between trials of a server in doubt
-// A path is in doubt with so many late, most of all, while another has so many in time, and few late.
-constexpr double kPathQueries = 1.5, kPathLeast = 3.0, kPathBad = 0.8, kPathGood = 0.35;
-// The share of queries let in falls while more than kFullMost of the parts are refused, and grows by kInGain
-// a second without. The prior is of parts without a refusal, shared by all instances: so many see the same.
-constexpr double kFullMost = 0.02, kInGain = 0.5, kInLeast = 0.1, kRefuseShare = 0.25, kFullPrior = 3000.0,
-                 kMostIn = 0.8;
-constexpr Micros kFullSpan = 1 * kSecond, kForgetSpan = 10 * kSecond, kPathSpan = 3 * kSecond,
-                 kRateSpan = 3 * kSecond;  // of counts
+// A part is not sent to the home server of its key when that server's load exceeds
+// kOverflowFactor * mean + kOverflowSlack.
+constexpr int kOverflowFactor = 2;
+constexpr int kOverflowSlack = 1;
 
-constexpr Micros kAskFirst = 300 * kMs, kAskMost = 5 * kSecond;  // back-off between calls to discovery
+// Interval between sweeps over the open queries. Values from 5 to 20 ms make no difference.
+constexpr Micros kSweepInterval = 10 * kMs;
+// Sweeps are at least this share of a tick apart, and at least kSweepTimePerQuery for each open query:
+// otherwise the cost of sweeps under overload would increase the overload.
+constexpr double kMinSweepTicks = 0.8;
+constexpr Micros kSweepTimePerQuery = 20;
+// Final answers are issued this many ticks, plus kAnswerMargin for the transfer to the client, ahead of a
+// time limit.
+constexpr int kAnswerMarginTicks = 3;
+constexpr Micros kAnswerMargin = 5 * kMs;
+constexpr double kWeightTolerance = 1e-6;  // for rounding errors in sums of weights
 
-// All servers stand still when nothing came for so many usual gaps between answers while so many of them owe.
-// So much of it counts as no time. A quiet in which fewer owe holds copies back for less.
-constexpr double kStillGaps = 4.0;
-constexpr int kStillServers = 4;
-constexpr Micros kStillMost = 600 * kMs, kQuietMost = 150 * kMs, kStillBegin = 40 * kMs;
+// Outlier ejection of servers. A server is ejected when it has parts outstanding but sends no response for
+// kSilentHedgeDelays hedge delays, or when a connection to it fails or is reset. A part that it fails or
+// rejects counts as a latency of kFailureLatencyFactor times the median.
+constexpr double kSilentHedgeDelays = 2.0;
+constexpr double kFailureLatencyFactor = 5.0;
+constexpr double kEwmaWeight = 0.2;          // weight of the newest sample in a moving average
+constexpr double kLatencyPriorWeight = 1.0;  // samples that the fleet's median counts for
 
-// A copy of what still runs needs signs of life: an answer within a usual gap, and answers for so long since
-// the last standstill ended, or the answer it was made against comes with all others.
-constexpr Micros kFlowLeast = 1 * kMs, kFlowSettle = 5 * kMs;
+// Failures of idle connections and resets. They are ascribed to the connections, not to the servers, when at
+// least this many servers show them within the given time.
+constexpr int kMinIdleFailures = 2;
+constexpr int kMinResetServers = 2;
+// A server that answers so soon after a reset was not down.
+constexpr Micros kResetSurvivalSpan = 2 * kSecond;
+constexpr Micros kIdleFailureSpan = 10 * kSecond;
+constexpr Micros kResetSpan = 10 * kSecond;
+constexpr Micros kIdleDistrustSpan = 30 * kSecond;
+// A connection that has been idle for less counts as in use.
+constexpr Micros kMinIdleTime = 800 * kMs;
+// A connect that fails after longer shows that connecting is slow. Idle connections are then kept open.
+constexpr Micros kSlowConnectTime = 100 * kMs;
 
-constexpr double kAdmitShare = 0.65;  // of the time to its aim, that a query's parts may be expected to take
-constexpr double kValueLeast = 0.4;   // what earns nothing is let in up to this part of the share
-constexpr double kLoadRatioMost = 5.0;  // trust in scaling a latency by the queue
-constexpr double kIdleParts = 2.0;      // parts that a server does at once without slowing down, at a guess
+// Interval between the probes of an ejected server or zone route; doubled with each probe.
+constexpr Micros kFirstProbeInterval = 500 * kMs;
+constexpr Micros kMaxProbeInterval = 4 * kSecond;
 
-std::uint64_t mix(std::uint64_t x) {
+// Ejection of zone routes. A route is ejected when it has at least kRouteMinAttempts late attempts, of at
+// least kRouteMinLateQueries queries, which are at least kRouteEjectLateShare of all its attempts, while
+// another route has kRouteMinAttempts in time and a share of late ones below kRouteHealthyLateShare.
+constexpr double kRouteMinLateQueries = 1.5;
+constexpr double kRouteMinAttempts = 3.0;
+constexpr double kRouteEjectLateShare = 0.8;
+constexpr double kRouteHealthyLateShare = 0.35;
+
+// Admission ratio: the share of queries admitted. It falls while servers reject more than kMaxBusyShare of
+// the parts as busy, and grows by kAdmissionGainPerSecond while they reject none. The prior adds parts that
+// were not rejected. It is divided by the number of instances, since that many see the same rejections.
+constexpr double kMaxBusyShare = 0.02;
+constexpr double kAdmissionGainPerSecond = 0.5;
+constexpr double kMinAdmissionRatio = 0.1;
+constexpr double kManyBusyShare = 0.25;  // of the servers
+constexpr double kBusyPriorParts = 3000.0;
+// From this completed weight on, the rejected parts of a query are retried without a token.
+constexpr double kNearlyCompleteWeight = 0.8;
+
+// Time constants of decaying counts.
+constexpr Micros kBusySpan = 1 * kSecond;
+constexpr Micros kLatencySpan = 10 * kSecond;
+constexpr Micros kRouteSpan = 3 * kSecond;
+constexpr Micros kRateSpan = 3 * kSecond;
+
+// Back-off between subscriptions to discovery.
+constexpr Micros kFirstSubscribeBackoff = 300 * kMs;
+constexpr Micros kMaxSubscribeBackoff = 5 * kSecond;
+
+// The fleet is stalled when no response arrives for kStallGaps mean gaps between answers while at least
+// kMinStallServers servers have parts outstanding. Up to kMaxStall of a stall is not counted in the age of
+// attempts. A pause with fewer such servers only holds hedges back, for at most kMaxPause. Where kStallGaps
+// mean gaps exceed kMaxStallThreshold, traffic is too thin to tell a stall.
+constexpr double kStallGaps = 4.0;
+constexpr int kMinStallServers = 4;
+constexpr Micros kMaxStall = 600 * kMs;
+constexpr Micros kMaxPause = 150 * kMs;
+constexpr Micros kMaxStallThreshold = 40 * kMs;
+
+// A live attempt is hedged only while answers are steady: the latest response is at most a mean gap old, and
+// at least kSteadyTime has passed since the latest stall ended. Right after a stall the delayed answers
+// arrive together, also the one that the hedge would replace.
+constexpr Micros kMinSteadyGap = 1 * kMs;
+constexpr Micros kSteadyTime = 5 * kMs;
+
+// A query is refused when its parts are expected to take longer than this share of its class's aim.
+constexpr double kAdmitTimeShare = 0.65;
+// The limit falls with the worth of the query, down to this part of it.
+constexpr double kMinWorthShare = 0.4;
+constexpr double kMaxQueueFactor = 5.0;     // bound for the scaling of latencies by the queue
+constexpr double kFreeParallelParts = 2.0;  // estimate of the parts that a server runs without slowing down
+
+std::uint64_t mixBits(std::uint64_t x) {
   x ^= x >> 30;
   x *= 0xbf58476d1ce4e5b9ULL;
   x ^= x >> 27;
   x *= 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
-// A fixed hash without a seed of the instance, so that all instances agree on the home of a key.
+// A fixed hash without the seed of the instance, so that all instances agree on the home server of a key.
 std::uint64_t hashText(std::uint64_t h, const std::string& text) {
   for (const unsigned char c : text) h = (h ^ c) * 0x100000001b3ULL;
-  return mix(h);
+  return mixBits(h);
 }
 
-// Of a server, or of the way to a zone: nothing but trials goes there, ever more rarely.
-struct Doubt {
-  bool on = false;
-  Micros since = 0, nextTrial = 0, gap = kTrialFirst;
-  void begin(Micros now) { on = true, since = now, nextTrial = now + gap; }
-  void tried(Micros now) {
-    if (!on) return;
-    nextTrial = now + gap;
-    gap = std::min(kTrialMost, gap * 2);
+// Ejection of a server or a zone route: only probes are sent there, at growing intervals.
+struct Ejection {
+  bool active = false;
+  Micros since = 0;
+  Micros nextProbeAt = 0;
+  Micros probeInterval = kFirstProbeInterval;
+  void begin(Micros now) {
+    active = true;
+    since = now;
+    nextProbeAt = now + probeInterval;
+  }
+  void probeSent(Micros now) {
+    if (!active) return;
+    nextProbeAt = now + probeInterval;
+    probeInterval = std::min(kMaxProbeInterval, probeInterval * 2);
   }
 };
 
 struct Server {
   std::string id;
-  int zone = 0, cell = 0;
+  int zone = 0;
+  int cell = 0;
   ServerState state = ServerState::serving;
   std::optional<Micros> started;
-  int partsOut = 0;
-  std::map<std::int64_t, int> callsOut;        // call -> its parts still out
-  std::int64_t openCall = -1;                  // call of the turn openTurn, and how many parts it has
-  std::int64_t openTurn = -1, votedCall = -1;  // votedCall: the latest for or against its path
-  int openCallParts = 0;
-  double mean = 0.0, ratio = 1.0;  // recent latency, as of a part of the mean class, and to the median of all
-  double outMean = 0.0;            // parts out when the answered ones were sent
-  double overdue = 0.0;            // age of the oldest part out there
-  double evidence = 0.0;           // latencies that the mean rests on, less as they grow old
-  Micros learnedAt = 0, lastHeard = -kNever;
-  Doubt doubt;
-  bool connSuspect = false;  // to be closed before the next send
+  int outstandingParts = 0;
+  std::map<std::int64_t, int> outstandingCalls;  // call -> its parts outstanding
+  std::int64_t openCall = -1;                    // the call of turn openTurn, which can take further parts
+  std::int64_t openTurn = -1;
+  std::int64_t lastCountedCall = -1;  // the latest call counted for the zone route
+  int openCallParts = 0;              // parts in openCall
+  double meanLatency = 0.0;           // moving average, normalised to a class of mean cost
+  double latencyRatio = 1.0;          // moving average of the latency relative to the fleet's median
+  double meanOutstanding = 0.0;       // moving average of outstandingParts when answered parts were sent
+  double oldestPartAge = 0.0;         // normalised age of the oldest part outstanding
+  double sampleWeight = 0.0;          // decaying number of the samples behind meanLatency
+  Micros latencyUpdatedAt = 0;
+  Micros lastResponseAt = -kNever;  // answer, error or busy response
+  Ejection ejection;
+  bool closeBeforeSend = false;  // its idle connections are closed before the next send
   Micros coldSince = -kNever;
-  Micros connUsed = -kNever;  // when its connection last was new, in steady use or heard from
-  Micros idleFailedAt = -kNever, idleFailed = 0;    // when one unused for that long last failed
-  Micros brokenAt = -kNever, outlivedAt = -kNever;  // its latest reset; when it last served soon after one
-  Micros lastReset = -kNever, refusedAt = -kNever, lastAnswered = -kNever;
-  std::deque<Micros> sends;
-  double doneRate = 0.0;
-  Micros rateAt = 0;
+  Micros connActiveAt = -kNever;     // when its connection was last new, in steady use or received from
+  Micros idleFailureAt = -kNever;    // when an idle connection last failed
+  Micros failedIdleTime = 0;         // how long that connection had been idle
+  Micros activeResetAt = -kNever;    // the latest reset of a connection in use
+  Micros survivedResetAt = -kNever;  // when it last answered soon after such a reset
+  Micros lastResetAt = -kNever;      // the latest reset that is not explained by an idle connection
+  Micros busyAt = -kNever;           // when it last rejected a part as busy
+  Micros lastAnswerAt = -kNever;     // answer or error, but not busy
+  std::deque<Micros> recentSends;    // while cold: send times within the window of the cold rule
+  double completionRate = 0.0;       // parts a second, as of completionRateAt
+  Micros completionRateAt = 0;
 };
 
-// The way to the servers of a zone, by what became of the attempts sent there: in time, or late.
-struct Path {
-  double inTime = 0.0, late = 0.0, lateQueries = 0.0;  // decaying counts; queries with something late
-  std::int64_t lateQuery = -1;                         // the latest of them
-  Micros countedAt = 0;
-  Doubt doubt;
+// The network route to the servers of a zone, judged by the attempts sent there. All counts decay.
+struct ZoneRoute {
+  double inTimeCount = 0.0;
+  double lateCount = 0.0;
+  double lateQueryCount = 0.0;  // queries with a late attempt
+  std::int64_t latestLateQuery = -1;
+  Micros updatedAt = 0;
+  Ejection ejection;
 };
 
 struct Attempt {
   Server* server = nullptr;
-  Micros sentAt = 0, stoodAtSend = 0;
+  Micros sentAt = 0;
+  Micros stallTimeAtSend = 0;
   std::int64_t call = 0;
-  int outAtSend = 0;
-  bool lone = false;  // sent while its query was suspect
-  Micros idle = 0;    // for how long its connection had been unused; 0: new or busy
-  bool live = true, cancelled = false, mayHaveRun = true, refused = false;
-  bool lost = false;  // with its connection
+  int outstandingAtSend = 0;
+  bool sentAsSuspect = false;  // its query was suspected poison when it was sent
+  Micros idleTime = 0;         // how long its connection had been idle; 0: new or in use
+  bool live = true;
+  bool cancelled = false;
+  bool mayHaveRun = true;
+  bool busy = false;      // rejected by the server as busy
+  bool connLost = false;  // presumed lost with its connection
 };
 
 struct Part {
-  std::string id, prefer;
+  std::string id;
+  std::string preferredServer;
   int shard = 0;
   double weight = 0.0;
-  bool done = false, spare = false, late = false;
+  bool done = false;
+  bool spare = false;       // sent only in place of a late part
+  bool backupSent = false;  // a spare or a further attempt has been sent for it
   std::vector<Attempt> attempts;
-  bool anyLive() const { return std::ranges::any_of(attempts, &Attempt::live); }
+  bool hasLiveAttempt() const { return std::ranges::any_of(attempts, &Attempt::live); }
 };
 
 struct Query {
@@ -152,132 +235,172 @@
   std::int64_t group = 0;
   int cls = 0;
   std::uint64_t keyHash = 0;
-  bool keyed = false, fresh = true, ended = false, overShare = false, firstWhole = false;
-  bool touched = false;            // something of this turn concerns it
-  std::optional<StepTerms> terms;  // the host ends its steps
-  bool told = false;               // to the host: nothing more comes of this step
-  int step = 1, resets = 0;
-  bool cautious = false, proven = false, condemned = false;  // proven: a server has survived a part of it
-  std::size_t stepBegin = 0, stepExpected = 0;               // parts of the present step
-  Micros aimAt = 0, deadlineAt = 0;
+  bool keyed = false;
+  bool awaitingAdmission = true;
+  bool ended = false;
+  bool overShare = false;  // its tenant exceeds its share
+  bool firstStepComplete = false;
+  bool touched = false;            // listed in touchedGroups
+  std::optional<StepTerms> terms;  // present where the host ends the steps
+  bool hostNotified = false;       // the host knows that nothing more comes of this step
+  int step = 1;
+  int resets = 0;
+  // Poison query (query of death): one that crashes the servers it reaches.
+  bool suspectRepeat = false;   // repeated by its client while resets are common
+  bool provenHarmless = false;  // a server has served a part of it
+  bool isPoison = false;
+  std::size_t stepFirstPart = 0;  // index of the current step's first part
+  std::size_t stepPartCount = 0;
+  Micros aimAt = 0;
+  Micros deadlineAt = 0;
   std::vector<Part> parts;
 };
 
-struct Tracker {
-  std::deque<Micros> recent;
-  std::deque<Micros> newest, newestAt;
-  Micros p95 = 0, median = 0;
-  std::ptrdiff_t unsorted = 0, aged = -1;  // aged: how many were young when the median was last aged
+// Latencies of parts: the samples of a long and a short window, and their percentiles.
+struct LatencyTracker {
+  std::deque<Micros> longWindow;
+  std::deque<Micros> shortWindow;
+  std::deque<Micros> shortWindowTimes;
+  Micros p95 = 0;
+  Micros median = 0;
+  std::ptrdiff_t samplesSinceRefresh = 0;
+  std::ptrdiff_t youngAtRefresh = -1;  // number of young samples in the latest refreshMedian()
   void add(Micros now, Micros latency) {
-    recent.push_back(latency);
-    newest.push_back(latency), newestAt.push_back(now), aged = -1;
-    if (recent.size() > kSampleWindow) recent.pop_front();
-    if (newest.size() > kNewestWindow) newest.pop_front(), newestAt.pop_front();
-    if (recent.size() <= 4 * kMinSamples || ++unsorted >= 8) refresh();
-  }
-  static Micros at(const std::deque<Micros>& from, double q) {
-    std::vector<Micros> all(from.begin(), from.end());
-    const auto wanted = all.begin() + std::ptrdiff_t(q * double(all.size() - 1) + 0.5);
-    std::nth_element(all.begin(), wanted, all.end());
+    longWindow.push_back(latency);
+    shortWindow.push_back(latency);
+    shortWindowTimes.push_back(now);
+    youngAtRefresh = -1;
+    if (longWindow.size() > kLongWindowSamples) longWindow.pop_front();
+    if (shortWindow.size() > kShortWindowSamples) {
+      shortWindow.pop_front();
+      shortWindowTimes.pop_front();
+    }
+    if (longWindow.size() <= 4 * kMinSamples || ++samplesSinceRefresh >= 8) refresh();
+  }
+  static Micros quantile(const std::deque<Micros>& samples, double q) {
+    std::vector<Micros> sorted(samples.begin(), samples.end());
+    const auto wanted = sorted.begin() + std::ptrdiff_t(q * double(sorted.size() - 1) + 0.5);
+    std::nth_element(sorted.begin(), wanted, sorted.end());
     return *wanted;
   }
   void refresh() {
-    unsorted = 0;
-    median = at(newest, 0.5);
-    p95 = std::max(at(recent, kHedgePercentile), at(newest, kHedgePercentile));
-  }
-  // Old ones would refuse on, for a refusal brings no newer ones: with few young ones all of them count.
-  void age(Micros before) {
-    const auto young = std::ranges::count_if(newestAt, [&](Micros when) { return when >= before; });
-    if (!ready() || std::exchange(aged, young) == young) return;
-    median = at(young < std::ptrdiff_t(kMinSamples) ? recent : std::deque(newest.end() - young, newest.end()),
-                0.5);
-  }
-  bool ready() const { return recent.size() >= kMinSamples; }
+    samplesSinceRefresh = 0;
+    median = quantile(shortWindow, 0.5);
+    p95 = std::max(quantile(longWindow, kHedgePercentile), quantile(shortWindow, kHedgePercentile));
+  }
+  // Takes the median of the samples since `oldest`, or of the long window if these are fewer than
+  // kMinSamples. Otherwise old high latencies would keep queries refused, for refused queries bring no new
+  // samples.
+  void refreshMedian(Micros oldest) {
+    const auto young = std::ranges::count_if(shortWindowTimes, [&](Micros when) { return when >= oldest; });
+    if (!ready() || std::exchange(youngAtRefresh, young) == young) return;
+    median = quantile(young < std::ptrdiff_t(kMinSamples)
+                          ? longWindow
+                          : std::deque(shortWindow.end() - young, shortWindow.end()),
+                      0.5);
+  }
+  bool ready() const { return longWindow.size() >= kMinSamples; }
 };
 
-struct Bucket {
+struct TokenBucket {
   double tokens = 0.0;
-  void earn() { tokens = std::min(kBucketSize, tokens + kBucketEarn); }
-  bool canPay() const { return tokens >= kBucketCost; }
-  void pay() { tokens = std::max(0.0, tokens - kBucketCost); }
+  void credit() { tokens = std::min(kBucketCapacity, tokens + kBucketCredit); }
+  bool hasToken() const { return tokens >= kBucketCost; }
+  void spend() { tokens = std::max(0.0, tokens - kBucketCost); }
 };
 
 }  // namespace
 
-struct Aggregator::Brain {
-  Settings set;
-  std::uint64_t salt;
+struct Aggregator::Impl {
+  Settings settings;
+  std::uint64_t salt;  // from the seed of this instance
   Micros now = 0;
-  std::vector<Action> out;
+  std::vector<Action> actions;  // of the current turn
   std::map<std::string, Server> servers;
-  std::map<std::int64_t, Query> queries;
+  std::map<std::int64_t, Query> queries;        // by group
   std::map<std::string, std::int64_t> groupOf;  // query and part ids -> group
-  std::map<int, Path> paths;                    // by zone
-  std::vector<Tracker> trackers;
-  Tracker pooled;         // of all classes
-  double peerMean = 0.0;  // median of the servers' means
-  std::vector<Bucket> buckets;
-  std::deque<Micros> taken, further;  // of the budget: queries and parts taken, attempts beyond the first
-  Micros newAreDear = -kNever;        // until then idle connections are kept: new ones took long and failed
-  Micros idleTrusted = kNever, idleTrustedFrom = -kNever;  // unused for longer: closed first, until then
-  std::int64_t lastCall = 0;
+  std::map<int, ZoneRoute> zoneRoutes;          // by zone
+  std::vector<LatencyTracker> latencyByClass;
+  LatencyTracker pooledLatency;           // of all classes
+  double fleetMedian = 0.0;               // median of pooledLatency; 0 while it has too few samples
+  std::vector<TokenBucket> hedgeBuckets;  // by class
+  // Within the window of the budget: arrival times of queries and parts, and send times of attempts beyond
+  // the first of a part.
+  std::deque<Micros> acceptedAt;
+  std::deque<Micros> extraAttemptsAt;
+  Micros keepIdleUntil = -kNever;   // idle connections are kept until then: new ones failed after a long time
+  Micros trustedIdleTime = kNever;  // connections idle for longer are closed before use ...
+  Micros idleDistrustUntil = -kNever;  // ... until then
+  std::int64_t lastCallId = 0;
   std::int64_t turn = 0;
-  double warmRate = 0.0;                           // parts a second that a warm server does for this instance
-  std::vector<std::vector<Server*>> shardHolders;  // serving, by shard modulo cells; made anew with each list
-  double doneTotal = 0.0;                          // parts a second that all warm servers do
-  Micros heardAt = -kNever;                        // when any server last said something
-  Micros flowsSince = -kNever;                     // answers have come without a standstill since
-  Micros stood = 0, lookedAt = 0;                  // time in which all stood still, as of the latest turn
-  Micros newestServed = -kNever;                   // when the latest part that any server served was sent
+  double warmServerRate = 0.0;  // parts a second that a warm server completes for this instance, on average
+  std::vector<std::vector<Server*>> shardHolders;  // serving, by shard modulo cells; rebuilt with each list
+  double totalWarmRate = 0.0;                      // parts a second that all warm servers complete
+  Micros fleetResponseAt = -kNever;                // latest response of any server
+  Micros answersSteadySince = -kNever;             // answers have arrived without a stall since then
+  Micros stallTime = 0;                            // total time of stalls, as of the latest turn
+  Micros stallCheckedAt = 0;
+  Micros latestServedSend = -kNever;  // the latest send time of all parts served so far
   Micros timerAt = -1;
-  Micros nextLook = 0;                // when all queries are looked at again, not only those in `touched`
-  std::vector<std::int64_t> touched;  // groups that the events of this turn concern
-  Micros askAt = -1, askedAt = -1, askGap = kAskFirst;
+  Micros nextSweep = 0;                     // when all queries are processed again, not only touchedGroups
+  std::vector<std::int64_t> touchedGroups;  // queries that the events of this turn concern
+  Micros nextSubscribeAt = -1;
+  Micros lastSubscribeAt = -1;
+  Micros subscribeBackoff = kFirstSubscribeBackoff;
   bool subscribed = false;
-  double worthMost = 0.0, meanParts = 0.0, letIn = 1.0;  // letIn: less while parts are refused
-  double partsSeen = 0.0, partsRefused = 0.0;            // decaying counts
-  Micros judgedAt = 0;
-  std::vector<double> shareTokens;  // of tenants
-  Micros shareAt = 0;
+  double maxWorth = 0.0;           // of all classes
+  double meanPartsPerQuery = 0.0;  // moving average
+  double admissionRatio = 1.0;     // below 1 while servers reject parts
+  double countedParts = 0.0;       // decaying counts: parts answered or rejected, and parts rejected
+  double busyParts = 0.0;
+  Micros admissionUpdatedAt = 0;
+  std::vector<double> tenantTokens;  // by tenant, as of tenantTokensAt
+  Micros tenantTokensAt = 0;
 
-  Brain(const Settings& settings, std::uint64_t seed) : salt(mix(seed + 1)) {
-    on(Retuned{settings, std::vector<int>(settings.classes.size(), -1)});
+  Impl(const Settings& initial, std::uint64_t seed) : salt(mixBits(seed + 1)) {
+    on(Retuned{initial, std::vector<int>(initial.classes.size(), -1)});
   }
   void on(const Retuned& e) {
-    set = e.settings;
-    trackers.resize(set.classes.size()), buckets.resize(set.classes.size());
+    settings = e.settings;
+    latencyByClass.resize(settings.classes.size());
+    hedgeBuckets.resize(settings.classes.size());
     for (std::size_t k = 0; k < e.from.size(); ++k) {
       const int old = e.from[k];
-      trackers[k] = old < 0 ? Tracker{} : Tracker(trackers[std::size_t(old)]);
-      buckets[k] = old < 0 ? Bucket{} : Bucket(buckets[std::size_t(old)]);
+      latencyByClass[k] = old < 0 ? LatencyTracker{} : LatencyTracker(latencyByClass[std::size_t(old)]);
+      hedgeBuckets[k] = old < 0 ? TokenBucket{} : TokenBucket(hedgeBuckets[std::size_t(old)]);
     }
-    shareTokens.assign(set.tenants.size(), 1.0);
-    set.cells = std::max(1, set.cells);
-    set.reach = std::max(1, set.reach);
-    placeHolders();
-    worthMost = 0.0;
-    for (const ClassSettings& cls : set.classes) worthMost = std::max(worthMost, cls.worth);
+    tenantTokens.assign(settings.tenants.size(), 1.0);
+    settings.cells = std::max(1, settings.cells);
+    settings.reach = std::max(1, settings.reach);
+    rebuildShardHolders();
+    maxWorth = 0.0;
+    for (const ClassSettings& cls : settings.classes) maxWorth = std::max(maxWorth, cls.worth);
   }
 
-  double draw(std::uint64_t what, const std::string& id) const {
-    return double(hashText(mix(salt + what), id) >> 11) / 9007199254740992.0;
+  // A pseudo-random number from [0, 1), fixed by the seed of this instance, `stream` and `id`.
+  double hashDraw(std::uint64_t stream, const std::string& id) const {
+    return double(hashText(mixBits(salt + stream), id) >> 11) / 9007199254740992.0;
   }
-  Micros endMargin() const { return kEndTicks * set.tick + kEndMargin; }
-  const ClassSettings& classOf(const Query& q) const { return set.classes[std::size_t(q.cls)]; }
+  // How far ahead of a time limit a final answer is issued.
+  Micros answerMargin() const { return kAnswerMarginTicks * settings.tick + kAnswerMargin; }
+  const ClassSettings& classOf(const Query& q) const { return settings.classes[std::size_t(q.cls)]; }
 
   void on(const ListArrived& list) {
     if (list.kind == ListKind::unavailable) {
-      if (!set.mustAskDiscovery) return;
+      if (!settings.mustAskDiscovery) return;
       subscribed = false;
-      askAt = now + Micros(double(askGap) * (0.5 + draw(std::uint64_t(now), "")));
-      askGap = std::min(kAskMost, askGap * 2);
+      nextSubscribeAt = now + Micros(double(subscribeBackoff) * (0.5 + hashDraw(std::uint64_t(now), "")));
+      subscribeBackoff = std::min(kMaxSubscribeBackoff, subscribeBackoff * 2);
       return;
     }
-    if (list.kind != ListKind::restored) subscribed = true, askGap = kAskFirst, askAt = -1;
-    std::set<std::string> named;
+    if (list.kind != ListKind::restored) {
+      subscribed = true;
+      subscribeBackoff = kFirstSubscribeBackoff;
+      nextSubscribeAt = -1;
+    }
+    std::set<std::string> listedIds;
     for (const ServerEntry& entry : list.entries) {
-      named.insert(entry.id);
+      listedIds.insert(entry.id);
       const bool known = servers.contains(entry.id);
       Server& s = servers[entry.id];
       const bool restarted = entry.started && s.started != entry.started;
@@ -287,23 +410,24 @@
       s.state = entry.state;
       if (restarted) {
         s.coldSince = std::max(s.coldSince, std::min(now, *entry.started));
-        if (known) s.evidence = 0.0;
+        if (known) s.sampleWeight = 0.0;
       }
       if (entry.started) s.started = entry.started;
     }
     for (auto& [id, s] : servers)
-      if (list.kind != ListKind::changes && !named.contains(id)) s.state = ServerState::gone;
-    placeHolders();
-    forgetGone();
+      if (list.kind != ListKind::changes && !listedIds.contains(id)) s.state = ServerState::gone;
+    rebuildShardHolders();
+    eraseRemovedServers();
   }
-  void placeHolders() {
-    shardHolders.assign(std::size_t(set.cells), {});
+  void rebuildShardHolders() {
+    shardHolders.assign(std::size_t(settings.cells), {});
     for (auto& [id, s] : servers)
-      for (int back = 0; s.state == ServerState::serving && back < std::min(set.reach, set.cells); ++back)
-        shardHolders[at(s.cell - back)].push_back(&s);
+      for (int offset = 0;
+           s.state == ServerState::serving && offset < std::min(settings.reach, settings.cells); ++offset)
+        shardHolders[cellIndex(s.cell - offset)].push_back(&s);
   }
-  // A server that is replaced never comes back under its id. What still points to it keeps it for now.
-  void forgetGone() {
+  // Removed servers never return under the same id. They are erased once no attempt refers to them.
+  void eraseRemovedServers() {
     std::set<const Server*> used;
     for (const auto& [group, q] : queries)
       for (const Part& p : q.parts)
@@ -313,410 +437,497 @@
     });
   }
 
-  void followDiscovery() {
-    if (!set.mustAskDiscovery) return;
-    const Micros patience = set.askWithin.value_or(10 * kSecond) / 2;
-    if (askedAt >= 0 && askAt < 0 && (subscribed || now < askedAt + patience)) return;
-    if (askAt > now) return;
-    out.push_back(Subscribe{});
-    askedAt = now, askAt = -1;
+  // Subscribes to discovery: at the start, after a failure, and again when no full list arrives in time.
+  void subscribeIfDue() {
+    if (!settings.mustAskDiscovery) return;
+    const Micros repeatAfter = settings.askWithin.value_or(10 * kSecond) / 2;
+    if (lastSubscribeAt >= 0 && nextSubscribeAt < 0 && (subscribed || now < lastSubscribeAt + repeatAfter))
+      return;
+    if (nextSubscribeAt > now) return;
+    actions.push_back(Subscribe{});
+    lastSubscribeAt = now;
+    nextSubscribeAt = -1;
   }
 
-  std::size_t at(int cell) const { return std::size_t((cell % set.cells + set.cells) % set.cells); }
-  const std::vector<Server*>& holders(int shard) const { return shardHolders[at(shard)]; }
-
-  double doneRate(const Server& s) const {
-    return s.doneRate * std::exp(-double(now - s.rateAt) / double(kRateSpan));
-  }
-  double sizeOf(int cls) const {
-    const Tracker& t = trackers[std::size_t(cls)];
-    if (!t.ready() || !pooled.ready()) return 1.0;
-    return std::max(0.1, double(t.median) / double(std::max<Micros>(1, pooled.median)));
+  std::size_t cellIndex(int cell) const {
+    return std::size_t((cell % settings.cells + settings.cells) % settings.cells);
   }
-  void compareServers() {
-    doneTotal = 0.0;
-    int warm = 0;
+  // The serving servers that hold a shard.
+  const std::vector<Server*>& holders(int shard) const { return shardHolders[cellIndex(shard)]; }
+
+  // The completion rate of a server, decayed until now.
+  double completionRateNow(const Server& s) const {
+    return s.completionRate * std::exp(-double(now - s.completionRateAt) / double(kRateSpan));
+  }
+  // The median latency of a class relative to that of all classes.
+  double relativeCost(int cls) const {
+    const LatencyTracker& t = latencyByClass[std::size_t(cls)];
+    if (!t.ready() || !pooledLatency.ready()) return 1.0;
+    return std::max(0.1, double(t.median) / double(std::max<Micros>(1, pooledLatency.median)));
+  }
+  void updateThroughput() {
+    totalWarmRate = 0.0;
+    int warmServers = 0;
     for (const auto& [id, s] : servers) {
-      if (s.state != ServerState::serving || s.doubt.on) continue;
-      if (set.cold && now - s.coldSince < set.cold->warmAfter) continue;
-      doneTotal += doneRate(s);
-      ++warm;
+      if (s.state != ServerState::serving || s.ejection.active) continue;
+      if (settings.cold && now - s.coldSince < settings.cold->warmAfter) continue;
+      totalWarmRate += completionRateNow(s);
+      ++warmServers;
     }
-    warmRate = doneTotal / std::max(1, warm);
-  }
-  // A server's own mean counts by how many answers there were lately, the peers' for the rest.
-  double evidence(const Server& s) const {
-    return s.evidence * std::exp(-double(now - s.learnedAt) / double(kForgetSpan));
-  }
-  // Kept as a time and relative to the median of its day: the smaller, or what slows all would count twice.
-  double expected(const Server& s) const {
-    const double own = evidence(s), sum = own * std::min(s.mean, s.ratio * peerMean) + kPrior * peerMean;
-    return std::max(sum / (own + kPrior), (sum + s.overdue) / (own + kPrior + 1.0));
+    warmServerRate = totalWarmRate / std::max(1, warmServers);
+  }
+  // The number of recent samples behind a server's mean latency, decayed until now.
+  double sampleWeightNow(const Server& s) const {
+    return s.sampleWeight * std::exp(-double(now - s.latencyUpdatedAt) / double(kLatencySpan));
+  }
+  // The expected latency of a server, normalised to a class of mean cost: its own mean, weighted by its
+  // recent samples, and the fleet's median as prior. A server's mean is stored as a time and as a ratio to
+  // the median. The smaller one is used, since a slowdown of the whole fleet would otherwise count twice. The
+  // age of its oldest outstanding part counts as one more sample where that raises the result.
+  double expectedLatency(const Server& s) const {
+    const double ownWeight = sampleWeightNow(s);
+    const double sum =
+        ownWeight * std::min(s.meanLatency, s.latencyRatio * fleetMedian) + kLatencyPriorWeight * fleetMedian;
+    return std::max(sum / (ownWeight + kLatencyPriorWeight),
+                    (sum + s.oldestPartAge) / (ownWeight + kLatencyPriorWeight + 1.0));
   }
 
-  void doubt(Server& s, const char* why) {
-    if (s.doubt.on) return;
-    out.push_back(Note{"in doubt: " + s.id + ", " + why});
-    s.doubt = Doubt{};
-    s.doubt.begin(now);
-  }
-  // A server that was silent for long may have restarted unseen, so it comes back as if cold.
-  void clear(Server& s) {
-    out.push_back(Note{"trusted again: " + s.id});
-    if (now - s.doubt.since > kTrialMost / 2) s.coldSince = now;
-    s.doubt.on = false;
-    s.evidence = 0.0;
-  }
-  void learnLatency(Server& s, double latency, bool censored) {
-    if (peerMean <= 0 || (censored && latency <= expected(s))) return;
-    s.evidence = evidence(s) + 1.0;
-    s.learnedAt = now;
-    const double gain = std::max(kLatencyGain, 1.0 / s.evidence);
-    s.mean += gain * (latency - s.mean);
-    s.ratio += gain * (latency / peerMean - s.ratio);
-  }
-  // When several connections unused for long fail, they are closed after half the shortest pause that failed.
-  Micros idleBefore(const Server& s) const {
-    const Micros idle = now - s.connUsed;
-    return idle < kIdleLeast || idle > set.connIdle.value_or(kNever) ? 0 : idle;
-  }
-  int shown(Micros Server::*when, Micros span) const {
+  void eject(Server& s, const char* why) {
+    if (s.ejection.active) return;
+    actions.push_back(Note{"server ejected: " + s.id + ", " + why});
+    s.ejection = Ejection{};
+    s.ejection.begin(now);
+  }
+  // Ends an ejection. After a long one the server counts as cold, since it may have restarted unnoticed.
+  void reinstate(Server& s) {
+    actions.push_back(Note{"server reinstated: " + s.id});
+    if (now - s.ejection.since > kMaxProbeInterval / 2) s.coldSince = now;
+    s.ejection.active = false;
+    s.sampleWeight = 0.0;
+  }
+  // Adds a latency to the averages of a server. A censored one is a lower bound, of an unanswered attempt.
+  void recordLatency(Server& s, double latency, bool censored) {
+    if (fleetMedian <= 0 || (censored && latency <= expectedLatency(s))) return;
+    s.sampleWeight = sampleWeightNow(s) + 1.0;
+    s.latencyUpdatedAt = now;
+    const double gain = std::max(kEwmaWeight, 1.0 / s.sampleWeight);
+    s.meanLatency += gain * (latency - s.meanLatency);
+    s.latencyRatio += gain * (latency / fleetMedian - s.latencyRatio);
+  }
+  // How long the connection to a server has been idle. 0 if it is in use, or if the idle time exceeds
+  // connIdle: the connection has then closed by itself.
+  Micros connIdleTime(const Server& s) const {
+    const Micros idle = now - s.connActiveAt;
+    return idle < kMinIdleTime || idle > settings.connIdle.value_or(kNever) ? 0 : idle;
+  }
+  // The number of servers whose time stamp `when` lies within the last `span`.
+  int countServersWithin(Micros Server::*when, Micros span) const {
     return int(std::ranges::count_if(servers, [&](const auto& e) { return e.second.*when > now - span; }));
   }
-  Micros idleLimit() const {
-    const bool common = shown(&Server::idleFailedAt, kIdleDistrust) >= kIdleWitnesses;
-    return common && now < idleTrustedFrom && now > newAreDear ? idleTrusted : kNever;
-  }
-  // What holds up all servers at once is the way to them or this machine: no part is late for it and no
-  // server silent. Called ahead of a turn's events, for these end the quiet.
-  void noteStandstill() {
-    const double gaps = kStillGaps * usualGap();
-    const Micros from = std::max(heardAt + Micros(gaps), lookedAt), to = std::min(now, heardAt + kStillMost);
-    lookedAt = now;
-    if (gaps <= double(kStillBegin) && to > from && manyOwe()) stood += to - from;
-  }
-  bool manyOwe() const {
-    return std::ranges::count_if(servers, [](const auto& e) { return e.second.partsOut > 0; }) >=
-           kStillServers;
-  }
-  double usualGap() const { return double(kSecond) / std::max(1.0, doneTotal); }  // between answers
-  void heard() {
-    if (double(now - heardAt) > std::max(kStillGaps * usualGap(), 2.0 * double(set.tick))) flowsSince = now;
-    heardAt = now;
-  }
-  bool flows() const {
-    if (kStillGaps * usualGap() > double(kStillBegin)) return true;
-    if (now - heardAt > (manyOwe() ? kStillMost : kQuietMost)) return true;
-    return now - heardAt <= std::max(kFlowLeast, Micros(usualGap())) && now - flowsSince >= kFlowSettle;
-  }
-  Micros age(const Attempt& a) const { return now - a.sentAt - (stood - a.stoodAtSend); }
-  bool lostOnIdle(const Query& q, const Attempt& a) const {
-    if (a.idle <= 0 || a.server->lastHeard >= a.sentAt || newestServed <= a.sentAt) return false;
-    const double patience = a.idle > idleLimit() ? 1.0 : kSilentDelays;
-    return double(age(a)) > patience * double(baseDelay(q.cls));
-  }
-  static void release(const Attempt& a) {
-    if (--a.server->partsOut == 0) a.server->overdue = 0.0;
-    if (--a.server->callsOut[a.call] <= 0) a.server->callsOut.erase(a.call);
-  }
-  void failedOnIdle(Server& s, Micros idle) {
-    s.connSuspect = true;
-    s.idleFailedAt = now;
-    s.idleFailed = idle;
-    if (shown(&Server::idleFailedAt, kIdleSpan) < kIdleWitnesses) return;
-    Micros shortest = idleLimit();
+  // Connections that have been idle for longer are closed before the next send.
+  Micros maxIdleTime() const {
+    const bool common = countServersWithin(&Server::idleFailureAt, kIdleDistrustSpan) >= kMinIdleFailures;
+    return common && now < idleDistrustUntil && now > keepIdleUntil ? trustedIdleTime : kNever;
+  }
+  // Adds the time in which the whole fleet is stalled. As the network or this machine causes a stall, that
+  // time makes no part late and no server silent. Called before the events of a turn, which can end a stall.
+  void updateStallTime() {
+    const double threshold = kStallGaps * meanAnswerGap();
+    const Micros from = std::max(fleetResponseAt + Micros(threshold), stallCheckedAt);
+    const Micros to = std::min(now, fleetResponseAt + kMaxStall);
+    stallCheckedAt = now;
+    if (threshold <= double(kMaxStallThreshold) && to > from && manyServersOutstanding())
+      stallTime += to - from;
+  }
+  bool manyServersOutstanding() const {
+    return std::ranges::count_if(servers, [](const auto& e) { return e.second.outstandingParts > 0; }) >=
+           kMinStallServers;
+  }
+  // The mean time between two answers of the fleet.
+  double meanAnswerGap() const { return double(kSecond) / std::max(1.0, totalWarmRate); }
+  void noteResponse() {
+    if (double(now - fleetResponseAt) > std::max(kStallGaps * meanAnswerGap(), 2.0 * double(settings.tick)))
+      answersSteadySince = now;
+    fleetResponseAt = now;
+  }
+  // Whether live attempts may be hedged. See kSteadyTime.
+  bool answersAreSteady() const {
+    if (kStallGaps * meanAnswerGap() > double(kMaxStallThreshold)) return true;
+    if (now - fleetResponseAt > (manyServersOutstanding() ? kMaxStall : kMaxPause)) return true;
+    return now - fleetResponseAt <= std::max(kMinSteadyGap, Micros(meanAnswerGap())) &&
+           now - answersSteadySince >= kSteadyTime;
+  }
+  // The age of an attempt without the time of stalls.
+  Micros effectiveAge(const Attempt& a) const { return now - a.sentAt - (stallTime - a.stallTimeAtSend); }
+  // Whether an attempt was probably lost because its connection had been idle: its server has sent nothing
+  // since, while another server has served a part that was sent later.
+  bool lostOnIdleConnection(const Query& q, const Attempt& a) const {
+    if (a.idleTime <= 0 || a.server->lastResponseAt >= a.sentAt || latestServedSend <= a.sentAt) return false;
+    const double delays = a.idleTime > maxIdleTime() ? 1.0 : kSilentHedgeDelays;
+    return double(effectiveAge(a)) > delays * double(hedgeDelay(q.cls));
+  }
+  static void releaseOutstanding(const Attempt& a) {
+    if (--a.server->outstandingParts == 0) a.server->oldestPartAge = 0.0;
+    if (--a.server->outstandingCalls[a.call] <= 0) a.server->outstandingCalls.erase(a.call);
+  }
+  // When idle connections fail at several servers, connections that have been idle for half of the shortest
+  // idle time that failed are closed before use.
+  void noteIdleFailure(Server& s, Micros idle) {
+    s.closeBeforeSend = true;
+    s.idleFailureAt = now;
+    s.failedIdleTime = idle;
+    if (countServersWithin(&Server::idleFailureAt, kIdleFailureSpan) < kMinIdleFailures) return;
+    Micros shortest = maxIdleTime();
     for (const auto& [id, other] : servers)
-      if (other.idleFailedAt > now - kIdleSpan) shortest = std::min(shortest, other.idleFailed / 2);
-    if (now >= idleTrustedFrom) out.push_back(Note{"connections unused for long fail: closed before use"});
-    idleTrusted = std::max(kIdleLeast, shortest);
-    idleTrustedFrom = now + kIdleDistrust;
-  }
-  // After a reset, or a repeat where resets are common, a query that may kill sends one part at a time.
-  bool suspect(const Query& q) const { return !q.proven && (q.resets > 0 || q.cautious); }
-  bool mayAdd(const Query& q) const {
-    if (!suspect(q)) return true;
+      if (other.idleFailureAt > now - kIdleFailureSpan)
+        shortest = std::min(shortest, other.failedIdleTime / 2);
+    if (now >= idleDistrustUntil)
+      actions.push_back(
+          Note{"idle connections fail at several servers: long idle ones are closed before use"});
+    trustedIdleTime = std::max(kMinIdleTime, shortest);
+    idleDistrustUntil = now + kIdleDistrustSpan;
+  }
+  // A query may be poison after a reset, or when its client repeats it while resets are common. Its parts are
+  // sent one at a time until a server has served one.
+  bool suspectedPoison(const Query& q) const {
+    return !q.provenHarmless && (q.resets > 0 || q.suspectRepeat);
+  }
+  bool maySendNext(const Query& q) const {
+    if (!suspectedPoison(q)) return true;
     for (const Part& p : q.parts)
       for (const Attempt& a : p.attempts)
-        if (a.live && age(a) <= baseDelay(q.cls)) return false;
+        if (a.live && effectiveAge(a) <= hedgeDelay(q.cls)) return false;
     return true;
   }
   void noteReset(Query& q, const Attempt& a) {
     ++q.resets;
-    q.condemned = a.lone && !q.proven;
-    if (a.idle <= idleLimit()) a.server->lastReset = now;
-  }
-  // Where several servers lately served soon after a reset, a server's first doubts it no longer.
-  bool outlives(Server& s) {
-    const bool again = s.brokenAt > s.lastAnswered && s.brokenAt < now;
-    s.brokenAt = now;
-    return !again && shown(&Server::outlivedAt, kDeathSpan) >= kDeathServers;
-  }
-  void judgeJam() {
-    if (shown(&Server::refusedAt, 2 * kFullSpan) == 0) partsRefused = 0.0;
-    const double span = double(std::min(now - std::exchange(judgedAt, now), kSecond));
-    const double full = partsRefused / (partsSeen + kFullPrior / std::max(1, set.instances));
-    const double kept = std::exp(-span / double(kFullSpan));
-    letIn = std::clamp(letIn + kInGain * span / kSecond * (1.0 - full / kFullMost), kInLeast, 1.0);
-    partsSeen *= kept, partsRefused *= kept;
-  }
-  bool manyRefuse() const { return shown(&Server::refusedAt, kFullSpan) > kRefuseShare * servers.size(); }
-  // The path to a zone is in doubt when most of what went there is late and of another zone little; then it
-  // is left but for trials. May hurt where a zone's servers are slower.
-  void count(const Query& q, Attempt& a, bool inTime) {
-    if (a.call <= a.server->votedCall) return;  // a call has one vote
-    a.server->votedCall = a.call;
-    Path& path = paths[a.server->zone];
-    const double kept = std::exp(-double(now - path.countedAt) / double(kPathSpan));
-    path.inTime = path.inTime * kept + (inTime ? 1.0 : 0.0);
-    path.late = path.late * kept + (inTime ? 0.0 : 1.0);
-    path.lateQueries = path.lateQueries * kept + (!inTime && path.lateQuery != q.group ? 1.0 : 0.0);
-    if (!inTime) path.lateQuery = q.group;
-    path.countedAt = now;
-    if (path.doubt.on && inTime && a.sentAt > path.doubt.since) clearPath(a.server->zone, path);
-    if (!path.doubt.on && !inTime) judgePath(a.server->zone, path);
-  }
-  static double lateShare(const Path& path) { return path.late / std::max(1e-9, path.late + path.inTime); }
-  void judgePath(int zone, Path& path) {
-    if (path.late < kPathLeast || path.lateQueries < kPathQueries || lateShare(path) < kPathBad) return;
-    const bool otherWell = std::any_of(paths.begin(), paths.end(), [](const auto& entry) {
-      return entry.second.inTime >= kPathLeast && lateShare(entry.second) < kPathGood;
+    q.isPoison = a.sentAsSuspect && !q.provenHarmless;
+    if (a.idleTime <= maxIdleTime()) a.server->lastResetAt = now;
+  }
+  // Where several servers have recently answered soon after a reset, resets say little about servers: the
+  // first reset of a server does not eject it.
+  bool survivesResets(Server& s) {
+    const bool again = s.activeResetAt > s.lastAnswerAt && s.activeResetAt < now;
+    s.activeResetAt = now;
+    return !again && countServersWithin(&Server::survivedResetAt, kResetSpan) >= kMinResetServers;
+  }
+  // Lowers the admission ratio while servers reject too many parts as busy, and raises it otherwise.
+  void updateAdmissionRatio() {
+    if (countServersWithin(&Server::busyAt, 2 * kBusySpan) == 0) busyParts = 0.0;
+    const double elapsed = double(std::min(now - std::exchange(admissionUpdatedAt, now), kSecond));
+    const double busyShare = busyParts / (countedParts + kBusyPriorParts / std::max(1, settings.instances));
+    const double decay = std::exp(-elapsed / double(kBusySpan));
+    admissionRatio = std::clamp(
+        admissionRatio + kAdmissionGainPerSecond * elapsed / kSecond * (1.0 - busyShare / kMaxBusyShare),
+        kMinAdmissionRatio, 1.0);
+    countedParts *= decay;
+    busyParts *= decay;
+  }
+  bool manyServersBusy() const {
+    return countServersWithin(&Server::busyAt, kBusySpan) > kManyBusyShare * servers.size();
+  }
+  // Counts an attempt as in time or late for the route to its zone. A route on which most attempts are late
+  // while another route is healthy is ejected. This may be wrong where the servers of one zone are slower.
+  void countForRoute(const Query& q, Attempt& a, bool inTime) {
+    if (a.call <= a.server->lastCountedCall) return;  // a call counts once
+    a.server->lastCountedCall = a.call;
+    ZoneRoute& route = zoneRoutes[a.server->zone];
+    const double decay = std::exp(-double(now - route.updatedAt) / double(kRouteSpan));
+    route.inTimeCount = route.inTimeCount * decay + (inTime ? 1.0 : 0.0);
+    route.lateCount = route.lateCount * decay + (inTime ? 0.0 : 1.0);
+    route.lateQueryCount =
+        route.lateQueryCount * decay + (!inTime && route.latestLateQuery != q.group ? 1.0 : 0.0);
+    if (!inTime) route.latestLateQuery = q.group;
+    route.updatedAt = now;
+    if (route.ejection.active && inTime && a.sentAt > route.ejection.since)
+      reinstateRoute(a.server->zone, route);
+    if (!route.ejection.active && !inTime) ejectRouteIfLate(a.server->zone, route);
+  }
+  static double lateFraction(const ZoneRoute& route) {
+    return route.lateCount / std::max(1e-9, route.lateCount + route.inTimeCount);
+  }
+  void ejectRouteIfLate(int zone, ZoneRoute& route) {
+    if (route.lateCount < kRouteMinAttempts || route.lateQueryCount < kRouteMinLateQueries ||
+        lateFraction(route) < kRouteEjectLateShare)
+      return;
+    const bool otherHealthy = std::any_of(zoneRoutes.begin(), zoneRoutes.end(), [](const auto& entry) {
+      return entry.second.inTimeCount >= kRouteMinAttempts &&
+             lateFraction(entry.second) < kRouteHealthyLateShare;
     });
-    if (!otherWell) return;
-    out.push_back(Note{"way to a zone in doubt: " + std::to_string(zone)});
-    path.doubt.begin(now);
+    if (!otherHealthy) return;
+    actions.push_back(Note{"zone route ejected: zone " + std::to_string(zone)});
+    route.ejection.begin(now);
   }
-  void clearPath(int zone, Path& path) {
-    out.push_back(Note{"way to a zone trusted again: " + std::to_string(zone)});
-    path = Path{};
+  void reinstateRoute(int zone, ZoneRoute& route) {
+    actions.push_back(Note{"zone route reinstated: zone " + std::to_string(zone)});
+    route = ZoneRoute{};
     for (auto& [id, s] : servers)
-      if (s.zone == zone && s.doubt.on) s.doubt.nextTrial = std::min(s.doubt.nextTrial, now);
+      if (s.zone == zone && s.ejection.active) s.ejection.nextProbeAt = std::min(s.ejection.nextProbeAt, now);
   }
-  bool pathDoubted(const Server& s) const {
-    const auto at = paths.find(s.zone);
-    return at != paths.end() && at->second.doubt.on;
+  bool routeEjected(const Server& s) const {
+    const auto at = zoneRoutes.find(s.zone);
+    return at != zoneRoutes.end() && at->second.ejection.active;
   }
-  bool pathTrialDue(const Server& s) const { return now >= paths.at(s.zone).doubt.nextTrial; }
+  bool routeProbeDue(const Server& s) const { return now >= zoneRoutes.at(s.zone).ejection.nextProbeAt; }
 
-  // Silent: it owes answers for long, while another has already served what was sent later. If all, no one.
-  void judgeOverdue() {
-    for (auto& [id, s] : servers) s.overdue = 0.0;
+  // Checks attempts that exceed the hedge delay. Ejects servers that are silent: with a part outstanding for
+  // kSilentHedgeDelays hedge delays, while another server has served a part that was sent later. If all
+  // servers are silent, none is ejected.
+  void checkOverdueAttempts() {
+    for (auto& [id, s] : servers) s.oldestPartAge = 0.0;
     for (auto& [group, q] : queries)
       for (Part& p : q.parts)
         for (std::size_t k = 0; k < p.attempts.size(); ++k) {
           Attempt& a = p.attempts[k];
-          if (!a.live || a.cancelled || a.lost) continue;
+          if (!a.live || a.cancelled || a.connLost) continue;
           Server& s = *a.server;
-          s.overdue = std::max(s.overdue, double(age(a)) / sizeOf(q.cls));
-          if (age(a) <= baseDelay(q.cls)) continue;
-          count(q, a, false);
-          if (pathDoubted(s)) continue;
-          if (lostOnIdle(q, a)) {
-            failedOnIdle(s, a.idle);
-            a.lost = true;
-            release(a);
+          s.oldestPartAge = std::max(s.oldestPartAge, double(effectiveAge(a)) / relativeCost(q.cls));
+          if (effectiveAge(a) <= hedgeDelay(q.cls)) continue;
+          countForRoute(q, a, false);
+          if (routeEjected(s)) continue;
+          if (lostOnIdleConnection(q, a)) {
+            noteIdleFailure(s, a.idleTime);
+            a.connLost = true;
+            releaseOutstanding(a);
             continue;
           }
-          const bool silent = double(age(a)) > kSilentDelays * double(baseDelay(q.cls));
-          if (silent && s.lastAnswered < a.sentAt && newestServed > a.sentAt)
-            doubt(s, "owes answers and says nothing");
+          const bool silent = double(effectiveAge(a)) > kSilentHedgeDelays * double(hedgeDelay(q.cls));
+          if (silent && s.lastAnswerAt < a.sentAt && latestServedSend > a.sentAt)
+            eject(s, "no response to outstanding parts");
         }
   }
-  bool trialDue(const Server& s) const { return s.doubt.on && now >= s.doubt.nextTrial && s.partsOut == 0; }
+  bool probeDue(const Server& s) const {
+    return s.ejection.active && now >= s.ejection.nextProbeAt && s.outstandingParts == 0;
+  }
 
-  // Of the queries that would go to a cold server the share passes that it can take by now, half the rule's
-  // multiple of its surely grown capacity, by a draw: so the sum over many instances is right, each thin.
-  bool coldAllows(const Query& q, Server& s) {
-    if (!set.cold || set.cold->window <= 0 || now - s.coldSince >= set.cold->warmAfter) return true;
-    const ColdRule& rule = *set.cold;
-    const double age = double(now - s.coldSince) / double(rule.warmAfter);
+  // Admits a share of the queries to a cold server: overloadFactor / 2 times the capacity that it has reached
+  // for certain. A pseudo-random draw selects them, so that the total of many instances is right even where
+  // each of them sends little.
+  bool coldStartAllows(const Query& q, Server& s) {
+    if (!settings.cold || settings.cold->window <= 0 || now - s.coldSince >= settings.cold->warmAfter)
+      return true;
+    const ColdRule& rule = *settings.cold;
+    const double warmUpProgress = double(now - s.coldSince) / double(rule.warmAfter);
     const double share =
-        std::min(1.0, rule.overloadFactor / 2 * (rule.startShare + (1.0 - rule.startShare) * age));
-    const std::uint64_t turnOf = std::uint64_t(q.group) ^ mix(std::uint64_t(now / rule.window));
-    if (draw(turnOf, s.id) >= share) return false;
-    while (!s.sends.empty() && s.sends.front() <= now - rule.window) s.sends.pop_front();
-    const double most = share * warmRate * double(rule.window) / kSecond;
-    return double(s.sends.size()) < std::max(double(std::max(1, set.bundleMax)), most);
+        std::min(1.0, rule.overloadFactor / 2 * (rule.startShare + (1.0 - rule.startShare) * warmUpProgress));
+    const std::uint64_t windowStream = std::uint64_t(q.group) ^ mixBits(std::uint64_t(now / rule.window));
+    if (hashDraw(windowStream, s.id) >= share) return false;
+    while (!s.recentSends.empty() && s.recentSends.front() <= now - rule.window) s.recentSends.pop_front();
+    const double allowance = share * warmServerRate * double(rule.window) / kSecond;
+    return double(s.recentSends.size()) < std::max(double(std::max(1, settings.bundleMax)), allowance);
   }
 
-  Micros baseDelay(int cls) const {
-    const Tracker& t = trackers[std::size_t(cls)];
-    return std::max(kMinDelay, t.ready() ? t.p95 : set.classes[std::size_t(cls)].aim / kStartDelayParts);
+  // How long an attempt of a class may take before it is late.
+  Micros hedgeDelay(int cls) const {
+    const LatencyTracker& t = latencyByClass[std::size_t(cls)];
+    return std::max(kMinHedgeDelay,
+                    t.ready() ? t.p95 : settings.classes[std::size_t(cls)].aim / kInitialDelayDivisor);
   }
 
-  int load(const Server& s) const { return set.bundleMax > 1 ? int(s.callsOut.size()) : s.partsOut; }
-  // Of one more part, scaled by what is out there: of others' work as much each as this one usually has.
-  Micros predict(const Server& s, int cls) const {
-    const double others = (set.instances - 1) * s.outMean;
-    const double queue = (s.partsOut + 1 + others + kIdleParts) / (s.outMean + 1 + others + kIdleParts);
-    const double mean = peerMean > 0 ? expected(s) : double(baseDelay(cls)) / 2;
-    return Micros(mean * sizeOf(cls) * std::min(queue, kLoadRatioMost));
-  }
-  // Neighbouring shards share a home only where calls are shared: else a query's parts pile onto one server.
-  std::uint64_t rank(const Query& q, int shard, const Server& s) const {
-    const std::uint64_t spread = set.bundleMax > 1 && q.keyed ? 0 : mix(std::uint64_t(shard) + 1);
+  int load(const Server& s) const {
+    return settings.bundleMax > 1 ? int(s.outstandingCalls.size()) : s.outstandingParts;
+  }
+  // The latency to expect of one more part of a class, scaled by the parts outstanding at the server. Each
+  // other instance is assumed to have as many outstanding there as this one usually has.
+  Micros predictLatency(const Server& s, int cls) const {
+    const double others = (settings.instances - 1) * s.meanOutstanding;
+    const double queue = (s.outstandingParts + 1 + others + kFreeParallelParts) /
+                         (s.meanOutstanding + 1 + others + kFreeParallelParts);
+    const double mean = fleetMedian > 0 ? expectedLatency(s) : double(hedgeDelay(cls)) / 2;
+    return Micros(mean * relativeCost(cls) * std::min(queue, kMaxQueueFactor));
+  }
+  // The rank of a server for a key and shard (rendezvous hashing); the highest is the home server. Shards
+  // share the ranking of a key only where parts share calls: otherwise all parts of a query would go to the
+  // same server.
+  std::uint64_t homeRank(const Query& q, int shard, const Server& s) const {
+    const std::uint64_t spread = settings.bundleMax > 1 && q.keyed ? 0 : mixBits(std::uint64_t(shard) + 1);
     return hashText(q.keyHash ^ spread, s.id);
   }
-  static bool triedAt(const Part& p, const Server* s, bool liveOnly) {
+  // Whether a part has an attempt, or a live attempt, at a server.
+  static bool triedOn(const Part& p, const Server* s, bool liveOnly) {
     return std::any_of(p.attempts.begin(), p.attempts.end(),
                        [&](const Attempt& a) { return a.server == s && (a.live || !liveOnly); });
   }
-  bool mayTry(const Query& q) const {
-    return classOf(q).effect != Effect::unsafe && buckets[std::size_t(q.cls)].canPay();
-  }
-  bool trustworthy(const Query& q, const Server& s) const {
-    if (pathDoubted(s) && !(pathTrialDue(s) && mayTry(q))) return false;
-    return !s.doubt.on || (trialDue(s) && mayTry(q));
-  }
-  // First send: the key's home, or the least loaded. In doubt is as good as absent, unless all are.
-  Server* firstTarget(const Query& q, const Part& p) {
-    std::vector<Server*> all = holders(p.shard), good;
-    for (Server* s : all)
-      if (trustworthy(q, *s)) good.push_back(s);
-    if (good.empty()) good = all;
-    const auto tooCold = [&](Server* s) { return !coldAllows(q, *s); };
-    if (std::erase_if(good, tooCold) > 0 && good.empty()) std::erase_if(good = all, tooCold);
-    if (good.empty()) return nullptr;
-    Server* home = *std::max_element(good.begin(), good.end(), [&](Server* a, Server* b) {
-      if ((a->id == p.prefer) != (b->id == p.prefer)) return b->id == p.prefer;
-      return rank(q, p.shard, *a) < rank(q, p.shard, *b);
+  // Whether parts of a query may serve as probes, which must be repeatable elsewhere.
+  bool mayProbe(const Query& q) const {
+    return classOf(q).effect != Effect::unsafe && hedgeBuckets[std::size_t(q.cls)].hasToken();
+  }
+  bool isEligible(const Query& q, const Server& s) const {
+    if (routeEjected(s) && !(routeProbeDue(s) && mayProbe(q))) return false;
+    return !s.ejection.active || (probeDue(s) && mayProbe(q));
+  }
+  // The server for a part's first attempt: the home server of its key, or another one where the home is
+  // overloaded or slow. Ejected servers are used only if all holders are ejected, or for a probe.
+  Server* firstAttemptTarget(const Query& q, const Part& p) {
+    std::vector<Server*> allHolders = holders(p.shard), candidates;
+    for (Server* s : allHolders)
+      if (isEligible(q, *s)) candidates.push_back(s);
+    if (candidates.empty()) candidates = allHolders;
+    const auto tooCold = [&](Server* s) { return !coldStartAllows(q, *s); };
+    if (std::erase_if(candidates, tooCold) > 0 && candidates.empty())
+      std::erase_if(candidates = allHolders, tooCold);
+    if (candidates.empty()) return nullptr;
+    Server* home = *std::max_element(candidates.begin(), candidates.end(), [&](Server* a, Server* b) {
+      if ((a->id == p.preferredServer) != (b->id == p.preferredServer)) return b->id == p.preferredServer;
+      return homeRank(q, p.shard, *a) < homeRank(q, p.shard, *b);
     });
     int total = 0;
-    for (Server* s : good) total += load(*s);
-    const double mean = double(total) / double(good.size());
-    const bool crowded = load(*home) > kOverflowFactor * mean + kOverflowPlus;
-    Server* other = *std::min_element(good.begin(), good.end(), [&](Server* a, Server* b) {
-      return crowded ? load(*a) < load(*b) : predict(*a, q.cls) < predict(*b, q.cls);
+    for (Server* s : candidates) total += load(*s);
+    const double mean = double(total) / double(candidates.size());
+    const bool homeOverloaded = load(*home) > kOverflowFactor * mean + kOverflowSlack;
+    Server* alternative = *std::min_element(candidates.begin(), candidates.end(), [&](Server* a, Server* b) {
+      return homeOverloaded ? load(*a) < load(*b) : predictLatency(*a, q.cls) < predictLatency(*b, q.cls);
     });
-    return crowded || predict(*home, q.cls) > kOverflowFactor * predict(*other, q.cls) ? other : home;
-  }
-  // A further attempt: another replica, the one expected to answer first; near ones first among equals.
-  Server* copyTarget(const Query& q, const Part& p) {
+    return homeOverloaded ||
+                   predictLatency(*home, q.cls) > kOverflowFactor * predictLatency(*alternative, q.cls)
+               ? alternative
+               : home;
+  }
+  // The server for a further attempt: the replica with the lowest predicted latency, where servers that were
+  // tried before, are ejected or lie in another zone count as slower.
+  Server* nextAttemptTarget(const Query& q, const Part& p) {
     Server* best = nullptr;
     double bestScore = 0;
     for (Server* s : holders(p.shard)) {
-      if (triedAt(p, s, true) || !coldAllows(q, *s) || (s->doubt.on && !trialDue(*s))) continue;
-      double score = double(predict(*s, q.cls));
-      if (triedAt(p, s, false)) score *= 2;
-      if (s->doubt.on || pathDoubted(*s)) score *= 4;
-      if (set.zone && s->zone != *set.zone) score *= 1.05;
-      if (!best || score < bestScore) best = s, bestScore = score;
+      if (triedOn(p, s, true) || !coldStartAllows(q, *s) || (s->ejection.active && !probeDue(*s))) continue;
+      double score = double(predictLatency(*s, q.cls));
+      if (triedOn(p, s, false)) score *= 2;
+      if (s->ejection.active || routeEjected(*s)) score *= 4;
+      if (settings.zone && s->zone != *settings.zone) score *= 1.05;
+      if (!best || score < bestScore) {
+        best = s;
+        bestScore = score;
+      }
     }
     return best;
   }
 
+  // Whether the budget of attempts allows one more beyond a part's first.
   bool budgetAllows() {
-    if (!set.budget) return true;
-    const Micros from = now - set.budget->window;
-    while (!taken.empty() && taken.front() <= from + set.tick) taken.pop_front();
-    while (!further.empty() && further.front() < from) further.pop_front();
-    return double(further.size()) + 1.0 <= set.budget->free + set.budget->share * double(taken.size()) + 1e-9;
-  }
+    if (!settings.budget) return true;
+    const Micros from = now - settings.budget->window;
+    while (!acceptedAt.empty() && acceptedAt.front() <= from + settings.tick) acceptedAt.pop_front();
+    while (!extraAttemptsAt.empty() && extraAttemptsAt.front() < from) extraAttemptsAt.pop_front();
+    return double(extraAttemptsAt.size()) + 1.0 <=
+           settings.budget->free + settings.budget->share * double(acceptedAt.size()) + 1e-9;
+  }
+  // Whether one more attempt of a part cannot have its effect twice.
   bool effectAllows(const Query& q, const Part& p) const {
     const ClassSettings& cls = classOf(q);
     const auto ran = std::ranges::find(p.attempts, true, &Attempt::mayHaveRun);
     if (cls.effect == Effect::safe || ran == p.attempts.end()) return true;
-    return cls.effect == Effect::keyed && now + set.tick < ran->sentAt + cls.repeatWindow.value_or(0);
+    return cls.effect == Effect::keyed && now + settings.tick < ran->sentAt + cls.repeatWindow.value_or(0);
   }
+  // Sends an attempt of a part to a server. Returns false if a rule forbids it.
   bool send(Query& q, Part& p, Server* s) {
     if (!s || q.ended || p.done || now >= q.deadlineAt) return false;
-    if (s->state != ServerState::serving || triedAt(p, s, true) || !coldAllows(q, *s)) return false;
+    if (s->state != ServerState::serving || triedOn(p, s, true) || !coldStartAllows(q, *s)) return false;
     if (std::ranges::count(holders(p.shard), s) == 0) return false;
-    if (set.maxAttempts && int(p.attempts.size()) >= *set.maxAttempts) return false;
-    if (p.anyLive() && !set.maySecondCopy) return false;
+    if (settings.maxAttempts && int(p.attempts.size()) >= *settings.maxAttempts) return false;
+    if (p.hasLiveAttempt() && !settings.maySecondCopy) return false;
     if (!effectAllows(q, p)) return false;
     if (!p.attempts.empty()) {
       if (!budgetAllows()) return false;
-      if (set.budget) further.push_back(now);
+      if (settings.budget) extraAttemptsAt.push_back(now);
     }
-    if (s->openTurn != turn || s->openCallParts >= std::max(1, set.bundleMax)) {
+    if (s->openTurn != turn || s->openCallParts >= std::max(1, settings.bundleMax)) {
       s->openTurn = turn;
-      s->openCall = ++lastCall;
+      s->openCall = ++lastCallId;
       s->openCallParts = 0;
     }
     ++s->openCallParts;
-    ++s->callsOut[s->openCall];
-    Micros idle = idleBefore(*s);
-    if (s->connSuspect || idle > idleLimit()) {
-      out.push_back(CloseIdle{s->id});
+    ++s->outstandingCalls[s->openCall];
+    Micros idle = connIdleTime(*s);
+    if (s->closeBeforeSend || idle > maxIdleTime()) {
+      actions.push_back(CloseIdle{s->id});
       idle = 0;
     }
-    s->connSuspect = false;
-    if (idle == 0) s->connUsed = now;
-    p.attempts.push_back(
-        Attempt{s, now, stood, s->openCall, s->partsOut, suspect(q), idle, true, false, true});
-    ++s->partsOut;
-    if (set.cold && now - s->coldSince < set.cold->warmAfter) s->sends.push_back(now);
-    s->doubt.tried(now);
-    if (pathDoubted(*s)) paths.at(s->zone).doubt.tried(now);
+    s->closeBeforeSend = false;
+    if (idle == 0) s->connActiveAt = now;
+    p.attempts.push_back(Attempt{s, now, stallTime, s->openCall, s->outstandingParts, suspectedPoison(q),
+                                 idle, true, false, true});
+    ++s->outstandingParts;
+    if (settings.cold && now - s->coldSince < settings.cold->warmAfter) s->recentSends.push_back(now);
+    s->ejection.probeSent(now);
+    if (routeEjected(*s)) zoneRoutes.at(s->zone).ejection.probeSent(now);
     p.spare = false;
-    // In a jam what would come too late is not even begun.
-    const bool toAim = !q.terms && (letIn < 1.0 || classOf(q).lateShare <= 0) && now < q.aimAt;
-    out.push_back(Send{p.id, s->id, (toAim ? q.aimAt : q.deadlineAt) - now});
+    // Under overload the time-out is the aim, so that servers do not start parts that would be late.
+    const bool toAim = !q.terms && (admissionRatio < 1.0 || classOf(q).lateShare <= 0) && now < q.aimAt;
+    actions.push_back(Send{p.id, s->id, (toAim ? q.aimAt : q.deadlineAt) - now});
     return true;
   }
 
-  // Late: it outlives the delay, or the last moment for a copy has come, or its server or way is in doubt.
+  // A part is late when each of its attempts has ended, has exceeded the hedge delay or the last moment at
+  // which a hedge can be in time, or was sent to a server or over a zone route that is ejected now.
   bool isLate(const Query& q, const Part& p) const {
-    const Micros usual = std::max(kMinDelay, trackers[std::size_t(q.cls)].median);
+    const Micros typical = std::max(kMinHedgeDelay, latencyByClass[std::size_t(q.cls)].median);
     for (const Attempt& a : p.attempts) {
-      const Micros delay = std::min(baseDelay(q.cls), std::max(usual, q.aimAt - a.sentAt - 2 * usual));
-      if (a.live && age(a) <= delay && !a.server->doubt.on && !pathDoubted(*a.server)) return false;
+      const Micros delay = std::min(hedgeDelay(q.cls), std::max(typical, q.aimAt - a.sentAt - 2 * typical));
+      if (a.live && effectiveAge(a) <= delay && !a.server->ejection.active && !routeEjected(*a.server))
+        return false;
     }
     return true;
   }
-  void drive(Query& q) {
-    for (std::size_t k = q.stepBegin; k < q.parts.size(); ++k) {
+  // Sends the first attempts of parts, and spares, hedges or retries of late parts.
+  void sendDueAttempts(Query& q) {
+    for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k) {
       Part& p = q.parts[k];
-      if (p.done || p.spare || !mayAdd(q)) continue;
+      if (p.done || p.spare || !maySendNext(q)) continue;
       if (p.attempts.empty()) {
-        send(q, p, firstTarget(q, p));
+        send(q, p, firstAttemptTarget(q, p));
         continue;
       }
       if (!isLate(q, p)) continue;
-      if (!p.late) {  // once a part: a spare in its place costs neither tokens nor budget
-        const auto begin = q.parts.begin() + std::ptrdiff_t(q.stepBegin);
+      if (!p.backupSent) {  // one spare for each part; it costs neither tokens nor budget
+        const auto begin = q.parts.begin() + std::ptrdiff_t(q.stepFirstPart);
         const auto spare = std::ranges::find(begin, q.parts.end(), true, &Part::spare);
-        if (spare != q.parts.end() && send(q, *spare, firstTarget(q, *spare))) {
-          p.late = true;
+        if (spare != q.parts.end() && send(q, *spare, firstAttemptTarget(q, *spare))) {
+          p.backupSent = true;
           continue;
         }
       }
-      const bool live = p.anyLive();
+      const bool live = p.hasLiveAttempt();
       if (live && p.attempts.size() > 1) continue;
       const Attempt& last = p.attempts.back();
-      const bool refused = !live && last.refused;
-      const bool final = set.maxAttempts && int(p.attempts.size()) + 1 >= *set.maxAttempts;
-      if ((final || (refused && letIn < 1.0)) && !live && now - last.sentAt < baseDelay(q.cls) / 2) continue;
-      const bool owedByLost = live && (last.lost || last.server->doubt.on || pathDoubted(*last.server));
-      if (live && !flows()) continue;
-      Bucket& bucket = buckets[std::size_t(q.cls)];
-      // What failed is replaced from an empty bucket too. What was refused for lack of room only out of a
-      // jam, or where most of its query is in and would have run for nothing.
-      const bool paid = refused ? manyRefuse() || (letIn < 1.0 && shareIn(q) < kMostIn) : live && !owedByLost;
-      if (paid && !bucket.canPay()) continue;
-      Server* target = copyTarget(q, p);
-      // A copy that would come too late, as in a burst when all replicas are full, is only more load.
-      const Micros by = now < q.aimAt ? q.aimAt : q.deadlineAt;
-      if (target && (live || refused) && now + predict(*target, q.cls) > by) continue;
+      const bool lastBusy = !live && last.busy;
+      const bool lastAttempt = settings.maxAttempts && int(p.attempts.size()) + 1 >= *settings.maxAttempts;
+      if ((lastAttempt || (lastBusy && admissionRatio < 1.0)) && !live &&
+          now - last.sentAt < hedgeDelay(q.cls) / 2)
+        continue;
+      const bool onUnhealthyServer =
+          live && (last.connLost || last.server->ejection.active || routeEjected(*last.server));
+      if (live && !answersAreSteady()) continue;
+      TokenBucket& bucket = hedgeBuckets[std::size_t(q.cls)];
+      // Failed parts are retried without a token. Parts rejected as busy are retried without one only while
+      // few servers are busy, and under overload only if the query is nearly complete: otherwise the work for
+      // its other parts would be wasted.
+      const bool needsToken =
+          lastBusy ? manyServersBusy() || (admissionRatio < 1.0 && completedWeight(q) < kNearlyCompleteWeight)
+                   : live && !onUnhealthyServer;
+      if (needsToken && !bucket.hasToken()) continue;
+      Server* target = nextAttemptTarget(q, p);
+      // An attempt that is expected too late, as in a burst when all replicas are full, only adds load.
+      const Micros timeLimit = now < q.aimAt ? q.aimAt : q.deadlineAt;
+      if (target && (live || lastBusy) && now + predictLatency(*target, q.cls) > timeLimit) continue;
       if (send(q, p, target)) {
-        bucket.pay();
-        p.late = true;
+        bucket.spend();
+        p.backupSent = true;
       }
     }
   }
-  // Which parts to ask: where any so many make a whole answer, only as many as needed; the rest are spares.
-  void pickParts(Query& q) {
+  // Where some of the parts suffice for a complete answer, selects those expected first; the rest are spares.
+  void selectParts(Query& q) {
     const ClassSettings& cls = classOf(q);
-    if (q.step != 1 || q.terms || cls.need >= 1.0 - kWeightSlack) return;
+    if (q.step != 1 || q.terms || cls.need >= 1.0 - kWeightTolerance) return;
     std::vector<std::pair<Micros, std::size_t>> order;
     for (std::size_t k = 0; k < q.parts.size(); ++k) {
-      Server* s = firstTarget(q, q.parts[k]);
-      order.emplace_back(s ? predict(*s, q.cls) : kNever, k);
+      Server* s = firstAttemptTarget(q, q.parts[k]);
+      order.emplace_back(s ? predictLatency(*s, q.cls) : kNever, k);
     }
     std::sort(order.begin(), order.end());
     double sum = 0;
     for (const auto& [expected, k] : order) {
-      q.parts[k].spare = sum >= cls.need - kWeightSlack;
+      q.parts[k].spare = sum >= cls.need - kWeightTolerance;
       sum += q.parts[k].weight;
     }
   }
@@ -725,327 +936,368 @@
     const auto at = groupOf.find(e.part);
     if (at == groupOf.end()) return;
     Query& q = queries.at(at->second);
-    touch(q);
+    markTouched(q);
     for (Part& p : q.parts) {
       if (p.id != e.part) continue;
       if (e.attempt < 0 || std::size_t(e.attempt) >= p.attempts.size()) return;
       Attempt& a = p.attempts[std::size_t(e.attempt)];
       if (!a.live) return;
-      a.live = false, a.refused = e.outcome == Outcome::busy;
-      if (e.outcome == Outcome::done) count(q, a, now - a.sentAt <= baseDelay(q.cls));
-      if (a.refused) a.server->refusedAt = now;
-      if (e.outcome == Outcome::done || a.refused) partsSeen += 1.0, partsRefused += a.refused ? 1.0 : 0.0;
+      a.live = false;
+      a.busy = e.outcome == Outcome::busy;
+      if (e.outcome == Outcome::done) countForRoute(q, a, now - a.sentAt <= hedgeDelay(q.cls));
+      if (a.busy) a.server->busyAt = now;
+      if (e.outcome == Outcome::done || a.busy) {
+        countedParts += 1.0;
+        busyParts += a.busy ? 1.0 : 0.0;
+      }
       Server& s = *a.server;
-      if (!a.lost) release(a);
+      if (!a.connLost) releaseOutstanding(a);
       a.mayHaveRun =
           e.outcome != Outcome::busy && e.outcome != Outcome::connectFailed && e.outcome != Outcome::skipped;
-      learn(q, a, s, e);
+      recordOutcome(q, a, s, e);
       if (e.outcome == Outcome::done && !p.done && !q.ended) {
         p.done = true;
-        for (std::size_t k = 0; k < p.attempts.size(); ++k) cancel(p, k);
+        for (std::size_t k = 0; k < p.attempts.size(); ++k) cancelAttempt(p, k);
       }
       return;
     }
   }
-  void learn(Query& q, const Attempt& a, Server& s, const AttemptEnded& e) {
-    const double latency = double(now - a.sentAt) / sizeOf(q.cls);
-    if (e.outcome == Outcome::done || e.outcome == Outcome::error || e.outcome == Outcome::busy)
-      s.lastHeard = s.connUsed = now, heard();
+  // Updates the health, latency and load figures by the outcome of an attempt.
+  void recordOutcome(Query& q, const Attempt& a, Server& s, const AttemptEnded& e) {
+    const double latency = double(now - a.sentAt) / relativeCost(q.cls);
+    if (e.outcome == Outcome::done || e.outcome == Outcome::error || e.outcome == Outcome::busy) {
+      s.lastResponseAt = s.connActiveAt = now;
+      noteResponse();
+    }
     if (e.outcome == Outcome::done || e.outcome == Outcome::error) {
-      if (a.sentAt >= s.brokenAt && s.lastAnswered <= s.brokenAt && now - s.brokenAt < kOutliveSpan)
-        s.outlivedAt = now;
-      s.lastAnswered = now;
+      if (a.sentAt >= s.activeResetAt && s.lastAnswerAt <= s.activeResetAt &&
+          now - s.activeResetAt < kResetSurvivalSpan)
+        s.survivedResetAt = now;
+      s.lastAnswerAt = now;
     }
     switch (e.outcome) {
       case Outcome::done:
-        q.proven = true;
-        if (a.lost) {  // its connection lives, only its answer was late
-          s.idleFailedAt = -kNever;
-          s.connSuspect = false;
+        q.provenHarmless = true;
+        if (a.connLost) {  // its connection works, only the answer was late
+          s.idleFailureAt = -kNever;
+          s.closeBeforeSend = false;
         }
-        newestServed = std::max(newestServed, a.sentAt);
-        s.doneRate = doneRate(s) + double(kSecond) / double(kRateSpan), s.rateAt = now;
-        s.outMean += kLatencyGain * (a.outAtSend - s.outMean);
-        trackers[std::size_t(q.cls)].add(now, now - a.sentAt);
-        pooled.add(now, now - a.sentAt);
-        buckets[std::size_t(q.cls)].earn();
-        if (s.doubt.on) clear(s);
-        learnLatency(s, latency, false);
+        latestServedSend = std::max(latestServedSend, a.sentAt);
+        s.completionRate = completionRateNow(s) + double(kSecond) / double(kRateSpan);
+        s.completionRateAt = now;
+        s.meanOutstanding += kEwmaWeight * (a.outstandingAtSend - s.meanOutstanding);
+        latencyByClass[std::size_t(q.cls)].add(now, now - a.sentAt);
+        pooledLatency.add(now, now - a.sentAt);
+        hedgeBuckets[std::size_t(q.cls)].credit();
+        if (s.ejection.active) reinstate(s);
+        recordLatency(s, latency, false);
         break;
       case Outcome::cancelled:
       case Outcome::skipped:
-        if (!a.lost) learnLatency(s, latency, true);
+        if (!a.connLost) recordLatency(s, latency, true);
         break;
       case Outcome::busy:
       case Outcome::error:
-        learnLatency(s, kFailureRatio * peerMean, false);
+        recordLatency(s, kFailureLatencyFactor * fleetMedian, false);
         break;
       case Outcome::timedOut:
-        learnLatency(s, latency, true);
-        if (s.lastHeard >= a.sentAt) break;
+        recordLatency(s, latency, true);
+        if (s.lastResponseAt >= a.sentAt) break;
         [[fallthrough]];
       case Outcome::connectFailed:
       case Outcome::reset:
-        s.connUsed = -kNever;
-        if (e.outcome == Outcome::connectFailed && now - a.sentAt > kSlowConnect)
-          newAreDear = now + kIdleSpan;
+        s.connActiveAt = -kNever;
+        if (e.outcome == Outcome::connectFailed && now - a.sentAt > kSlowConnectTime)
+          keepIdleUntil = now + kIdleFailureSpan;
         if (e.outcome == Outcome::reset) noteReset(q, a);
-        if (e.outcome == Outcome::reset && a.idle > 0) {
-          if (q.resets == 1) failedOnIdle(s, a.idle);  // a query that kills its servers is one witness
+        if (e.outcome == Outcome::reset && a.idleTime > 0) {
+          if (q.resets == 1) noteIdleFailure(s, a.idleTime);  // once a query: it may be poison
           break;
         }
-        if (e.outcome == Outcome::reset && outlives(s)) break;
-        doubt(s, "does not connect or resets");
+        if (e.outcome == Outcome::reset && survivesResets(s)) break;
+        eject(s, "connection failed or reset");
         break;
     }
   }
 
-  void cancel(Part& p, std::size_t k) {
+  void cancelAttempt(Part& p, std::size_t k) {
     Attempt& a = p.attempts[k];
-    if (!a.live || a.cancelled || a.lost || !set.mayCancel) return;
+    if (!a.live || a.cancelled || a.connLost || !settings.mayCancel) return;
     a.cancelled = true;
-    out.push_back(Cancel{p.id, int(k)});
+    actions.push_back(Cancel{p.id, int(k)});
   }
-  void touch(Query& q) {
-    if (!std::exchange(q.touched, true)) touched.push_back(q.group);
+  void markTouched(Query& q) {
+    if (!std::exchange(q.touched, true)) touchedGroups.push_back(q.group);
   }
-  void end(Query& q) {
+  void endQuery(Query& q) {
     q.ended = true;
-    touch(q);
+    markTouched(q);
     for (Part& p : q.parts)
-      for (std::size_t k = 0; k < p.attempts.size(); ++k) cancel(p, k);
-  }
-  // At once, and where a refusal is honest with the time to stay away: `pause`, or as long as a client heeds.
-  void giveUp(Query& q, Micros pause = kNever) {
-    const auto hint = set.maxRetryAfter ? std::optional(std::min(*set.maxRetryAfter, pause)) : std::nullopt;
-    const auto ran = [](const Part& p) { return std::ranges::any_of(p.attempts, &Attempt::mayHaveRun); };
-    const bool honest = classOf(q).effect != Effect::unsafe || std::ranges::none_of(q.parts, ran);
-    out.push_back(honest ? Action(Refuse{q.id, hint}) : Action(Fail{q.id}));
-    end(q);
-  }
-  double shareIn(const Query& q) const {
+      for (std::size_t k = 0; k < p.attempts.size(); ++k) cancelAttempt(p, k);
+  }
+  // Ends a query without an answer, at once. It is refused, with a retry hint of at most maxRetryAfter,
+  // unless it is unsafe and may have run: then it fails.
+  void abandon(Query& q, Micros suggested = kNever) {
+    const auto retryAfter =
+        settings.maxRetryAfter ? std::optional(std::min(*settings.maxRetryAfter, suggested)) : std::nullopt;
+    const auto mayHaveRun = [](const Part& p) {
+      return std::ranges::any_of(p.attempts, &Attempt::mayHaveRun);
+    };
+    const bool refusable = classOf(q).effect != Effect::unsafe || std::ranges::none_of(q.parts, mayHaveRun);
+    actions.push_back(refusable ? Action(Refuse{q.id, retryAfter}) : Action(Fail{q.id}));
+    endQuery(q);
+  }
+  // The weight of the parts of the current step that are done.
+  double completedWeight(const Query& q) const {
     double sum = 0;
-    for (std::size_t k = q.stepBegin; k < q.parts.size(); ++k)
+    for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k)
       if (q.parts[k].done) sum += q.parts[k].weight;
     return sum;
   }
-  bool stillPossible(const Query& q, const Part& p) {
-    if (p.done || p.anyLive()) return true;
-    if (set.maxAttempts && int(p.attempts.size()) >= *set.maxAttempts) return false;
+  // Whether a part is done, running, or can be sent again.
+  bool canStillComplete(const Query& q, const Part& p) {
+    if (p.done || p.hasLiveAttempt()) return true;
+    if (settings.maxAttempts && int(p.attempts.size()) >= *settings.maxAttempts) return false;
     return effectAllows(q, p) && !holders(p.shard).empty();
   }
-  void answer(Query& q, bool whole) {
-    out.push_back(Answer{q.id, whole});
+  // Answers the current step. Ends the query, or begins its second step.
+  void answer(Query& q, bool complete) {
+    actions.push_back(Answer{q.id, complete});
     const ClassSettings& cls = classOf(q);
-    if (q.step == 2 || cls.followUp <= 0) return end(q);
-    q.firstWhole = whole;
-    const auto in = std::ranges::count_if(q.parts, [](const Part& p) { return p.done; });
-    secondStep(q, std::size_t(std::min<std::ptrdiff_t>(cls.followUp, in)));
+    if (q.step == 2 || cls.followUp <= 0) return endQuery(q);
+    q.firstStepComplete = complete;
+    const auto doneParts = std::ranges::count_if(q.parts, [](const Part& p) { return p.done; });
+    beginSecondStep(q, std::size_t(std::min<std::ptrdiff_t>(cls.followUp, doneParts)));
   }
-  void secondStep(Query& q, std::size_t parts) {
+  void beginSecondStep(Query& q, std::size_t parts) {
     for (Part& p : q.parts) {
       p.spare = false;
-      for (std::size_t k = 0; k < p.attempts.size(); ++k) cancel(p, k);
+      for (std::size_t k = 0; k < p.attempts.size(); ++k) cancelAttempt(p, k);
     }
     q.step = 2;
-    q.stepBegin = q.parts.size();
-    q.stepExpected = parts;
+    q.stepFirstPart = q.parts.size();
+    q.stepPartCount = parts;
   }
   void on(const StepBegan& e) {
     const auto at = groupOf.find(e.query);
     if (at == groupOf.end()) return;
     Query& q = queries.at(at->second);
-    q.terms = e.terms, q.told = false;
+    q.terms = e.terms;
+    q.hostNotified = false;
     q.aimAt = std::min(now + e.terms.time, q.deadlineAt);
-    secondStep(q, std::size_t(e.parts));
-    touch(q);
-  }
-  void conclude(Query& q) {
-    if (q.condemned) {
-      out.push_back(Note{"given up, resets each server it meets: " + q.id});
-      return giveUp(q);
+    beginSecondStep(q, std::size_t(e.parts));
+    markTouched(q);
+  }
+  // Answers or abandons a query once its final answer is certain or a time limit is near.
+  void checkCompletion(Query& q) {
+    if (q.isPoison) {
+      actions.push_back(Note{"query abandoned, its attempts end in resets at each server: " + q.id});
+      return abandon(q);
     }
     const ClassSettings& cls = classOf(q);
-    const bool complete = q.stepExpected > 0 && q.parts.size() - q.stepBegin >= q.stepExpected;
-    const double need = q.step == 1 ? cls.need : 1.0;
-    const double floor = q.step == 1 ? cls.floor : (cls.floor < cls.need - kWeightSlack ? cls.floor : 1.0);
-    const double in = shareIn(q);
-    bool allIn = complete;
-    double possible = 0;
-    for (std::size_t k = q.stepBegin; k < q.parts.size(); ++k) {
-      allIn = allIn && q.parts[k].done;
-      if (stillPossible(q, q.parts[k])) possible += q.parts[k].weight;
+    const bool allPartsArrived = q.stepPartCount > 0 && q.parts.size() - q.stepFirstPart >= q.stepPartCount;
+    const double required = q.step == 1 ? cls.need : 1.0;
+    const double minimum =
+        q.step == 1 ? cls.floor : (cls.floor < cls.need - kWeightTolerance ? cls.floor : 1.0);
+    const double doneWeight = completedWeight(q);
+    bool allDone = allPartsArrived;
+    double possibleWeight = 0;
+    for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k) {
+      allDone = allDone && q.parts[k].done;
+      if (canStillComplete(q, q.parts[k])) possibleWeight += q.parts[k].weight;
     }
-    if (q.terms) {  // the host ends the step, told when nothing more comes of it
-      if (q.told || (now < q.deadlineAt - endMargin() && (!complete || possible > in + kWeightSlack))) return;
-      if (in < q.terms->least - kWeightSlack && !q.terms->fallback) return giveUp(q);
-      q.told = true;
-      return out.push_back(Answer{q.id, false});
+    if (q.terms) {  // the host ends the step; it is notified when nothing more comes of it
+      if (q.hostNotified || (now < q.deadlineAt - answerMargin() &&
+                             (!allPartsArrived || possibleWeight > doneWeight + kWeightTolerance)))
+        return;
+      if (doneWeight < q.terms->least - kWeightTolerance && !q.terms->fallback) return abandon(q);
+      q.hostNotified = true;
+      return actions.push_back(Answer{q.id, false});
     }
-    if (complete && (allIn || (need < 1.0 - kWeightSlack && in >= need - kWeightSlack)))
-      return answer(q, q.step == 1 || q.firstWhole);
-    const bool enough = complete && floor < need - kWeightSlack && in >= floor - kWeightSlack;
-    const Micros reserve = q.step == 1 && cls.followUp > 0 ? baseDelay(q.cls) : 0;
-    if (enough) {
-      const bool whole = possible >= need - kWeightSlack;
-      if (!whole || now >= q.aimAt - endMargin() - reserve) return answer(q, false);
+    if (allPartsArrived &&
+        (allDone || (required < 1.0 - kWeightTolerance && doneWeight >= required - kWeightTolerance)))
+      return answer(q, q.step == 1 || q.firstStepComplete);
+    const bool partialSuffices =
+        allPartsArrived && minimum < required - kWeightTolerance && doneWeight >= minimum - kWeightTolerance;
+    const Micros secondStepReserve = q.step == 1 && cls.followUp > 0 ? hedgeDelay(q.cls) : 0;
+    if (partialSuffices) {
+      const bool completePossible = possibleWeight >= required - kWeightTolerance;
+      if (!completePossible || now >= q.aimAt - answerMargin() - secondStepReserve) return answer(q, false);
     }
-    if (now >= q.deadlineAt - endMargin()) return giveUp(q);
-    if (now >= q.aimAt && cls.lateShare <= 0) return giveUp(q);
-    if (complete && possible < floor - kWeightSlack) return giveUp(q);
+    if (now >= q.deadlineAt - answerMargin()) return abandon(q);
+    if (now >= q.aimAt && cls.lateShare <= 0) return abandon(q);
+    if (allPartsArrived && possibleWeight < minimum - kWeightTolerance) return abandon(q);
   }
 
   void on(const QueryArrived& e) {
-    if (set.budget) taken.push_back(now);
+    if (settings.budget) acceptedAt.push_back(now);
     if (queries.contains(e.group)) return;
-    if (e.cls < 0 || std::size_t(e.cls) >= set.classes.size()) {
-      out.push_back(Refuse{e.id, std::nullopt});
+    if (e.cls < 0 || std::size_t(e.cls) >= settings.classes.size()) {
+      actions.push_back(Refuse{e.id, std::nullopt});
       return;
     }
     Query& q = queries[e.group];
-    q.id = e.id, q.group = e.group, q.cls = e.cls;
-    touch(q);
+    q.id = e.id;
+    q.group = e.group;
+    q.cls = e.cls;
+    markTouched(q);
     const ClassSettings& cls = classOf(q);
     q.keyed = e.key.has_value();
     if (q.keyed) q.keyHash = hashText(0xcbf29ce484222325ULL, *e.key);
     q.deadlineAt = now + e.timeLeft;
-    // Of a later try of a client only what is left is known: its aim counts from the first.
+    // The aim counts from the first try of the client. A repeated query only tells the time left to its
+    // deadline.
     const Micros spent = e.repeated ? std::max<Micros>(0, cls.deadline - e.timeLeft) : 0;
     q.aimAt = std::min(now + std::max<Micros>(0, cls.aim - spent), q.deadlineAt);
-    q.stepExpected = std::size_t(std::max(0, e.parts));
-    meanParts += kLatencyGain * (double(q.stepExpected) - meanParts);
+    q.stepPartCount = std::size_t(std::max(0, e.parts));
+    meanPartsPerQuery += kEwmaWeight * (double(q.stepPartCount) - meanPartsPerQuery);
     q.terms = e.terms;
     if (q.terms) q.aimAt = std::min(now + q.terms->time, q.deadlineAt);
-    q.overShare = !withinShare(e.tenant);
-    q.cautious = e.repeated && shown(&Server::lastReset, kDeathSpan) >= kDeathServers;
+    q.overShare = !takeTenantToken(e.tenant);
+    q.suspectRepeat = e.repeated && countServersWithin(&Server::lastResetAt, kResetSpan) >= kMinResetServers;
     groupOf[e.id] = e.group;
   }
   void on(const PartArrived& e) {
-    if (set.budget) taken.push_back(now);
+    if (settings.budget) acceptedAt.push_back(now);
     const auto at = queries.find(e.group);
     if (at == queries.end()) return;
     Part& p = at->second.parts.emplace_back();
-    p.id = e.id, p.shard = e.shard, p.weight = e.weight, p.prefer = e.prefer;
-    touch(at->second);
+    p.id = e.id;
+    p.shard = e.shard;
+    p.weight = e.weight;
+    p.preferredServer = e.prefer;
+    markTouched(at->second);
     groupOf[e.id] = e.group;
   }
-  bool withinShare(int tenant) {
-    const double span = double(now - shareAt) / kSecond;
-    shareAt = now;
-    for (std::size_t k = 0; k < shareTokens.size(); ++k) {
-      if (!set.tenants[k].allowancePerSecond) continue;
-      const double rate = *set.tenants[k].allowancePerSecond / std::max(1, set.instances);
-      shareTokens[k] = std::min(std::max(1.0, rate), shareTokens[k] + rate * span);
+  // Takes a query off the allowance of its tenant. Returns false if the tenant is over its share.
+  bool takeTenantToken(int tenant) {
+    const double elapsed = double(now - tenantTokensAt) / kSecond;
+    tenantTokensAt = now;
+    for (std::size_t k = 0; k < tenantTokens.size(); ++k) {
+      if (!settings.tenants[k].allowancePerSecond) continue;
+      const double rate = *settings.tenants[k].allowancePerSecond / std::max(1, settings.instances);
+      tenantTokens[k] = std::min(std::max(1.0, rate), tenantTokens[k] + rate * elapsed);
     }
-    const std::size_t at = std::size_t(tenant);
-    if (at >= shareTokens.size() || !set.tenants[at].allowancePerSecond) return true;
-    if (shareTokens[at] < 1.0) return false;
-    shareTokens[at] -= 1.0;
+    const std::size_t index = std::size_t(tenant);
+    if (index >= tenantTokens.size() || !settings.tenants[index].allowancePerSecond) return true;
+    if (tenantTokens[index] < 1.0) return false;
+    tenantTokens[index] -= 1.0;
     return true;
   }
+  // Admits a query, or abandons it under overload or when it is expected too late.
   void admit(Query& q) {
     const ClassSettings& cls = classOf(q);
-    const bool pastAim = q.aimAt <= now + endMargin();
-    double value = q.overShare ? set.overShareWorth.value_or(1.0) : 1.0;
-    if (pastAim) value *= cls.lateShare;
-    if (value <= 0) return giveUp(q);
-    // What has few parts is hardly lost by one of them, and takes little room.
-    const double size = std::min(1.0, double(q.parts.size()) / std::max(1.0, meanParts));
-    if (draw(std::uint64_t(q.group), "let in") >= std::pow(letIn, size * worthMost / cls.worth))
-      return giveUp(q);
-    pickParts(q);
-    // Pressure shows against the class's aim. What can't be had in time from enough shards is refused whole.
-    const double most = kAdmitShare * (kValueLeast + (1.0 - kValueLeast) * value) * double(cls.aim);
-    const double room = double((pastAim ? q.deadlineAt : q.aimAt) - now);
-    double expected = 0, asked = 0, inTime = 0;
+    const bool pastAim = q.aimAt <= now + answerMargin();
+    double worthFactor = q.overShare ? settings.overShareWorth.value_or(1.0) : 1.0;
+    if (pastAim) worthFactor *= cls.lateShare;
+    if (worthFactor <= 0) return abandon(q);
+    // Small queries are preferred: they seldom fail by one rejected part, and take little capacity.
+    const double sizeFactor = std::min(1.0, double(q.parts.size()) / std::max(1.0, meanPartsPerQuery));
+    if (hashDraw(std::uint64_t(q.group), "let in") >=
+        std::pow(admissionRatio, sizeFactor * maxWorth / cls.worth))
+      return abandon(q);
+    selectParts(q);
+    // Load is judged by the aim of the class, not by the time that the client has left. A query that cannot
+    // get enough parts in time is refused as a whole.
+    const double maxExpected =
+        kAdmitTimeShare * (kMinWorthShare + (1.0 - kMinWorthShare) * worthFactor) * double(cls.aim);
+    const double timeLeft = double((pastAim ? q.deadlineAt : q.aimAt) - now);
+    double expected = 0, partsAsked = 0, inTimeWeight = 0;
     for (const Part& p : q.parts) {
-      Server* s = firstTarget(q, p);
-      const double part = s ? double(predict(*s, q.cls)) : 0.0;
-      if (part <= std::min(kAdmitShare * double(cls.aim), room)) inTime += p.weight;
+      Server* s = firstAttemptTarget(q, p);
+      const double partLatency = s ? double(predictLatency(*s, q.cls)) : 0.0;
+      if (partLatency <= std::min(kAdmitTimeShare * double(cls.aim), timeLeft)) inTimeWeight += p.weight;
       if (!s || p.spare) continue;
-      expected += part;
-      asked += 1;
+      expected += partLatency;
+      partsAsked += 1;
     }
-    expected /= std::max(1.0, asked);
-    const bool tooFew = inTime < std::min(cls.floor, cls.need) - kWeightSlack;
-    if (tooFew || expected > std::min(most, room)) return giveUp(q, Micros(expected));
-    q.fresh = false;
+    expected /= std::max(1.0, partsAsked);
+    const bool tooLittleInTime = inTimeWeight < std::min(cls.floor, cls.need) - kWeightTolerance;
+    if (tooLittleInTime || expected > std::min(maxExpected, timeLeft)) return abandon(q, Micros(expected));
+    q.awaitingAdmission = false;
   }
 
   void on(const TimerFired&) {
-    if (now >= timerAt) timerAt = -1, nextLook = now;  // a look is due
+    if (now >= timerAt) {
+      timerAt = -1;
+      nextSweep = now;
+    }
   }
   void on(const ClientGone& e) {
     const auto at = groupOf.find(e.id);
     if (at == groupOf.end()) return;
     Query& q = queries.at(at->second);
-    if (q.id == e.id && !q.ended) end(q);
-    touch(q);
+    if (q.id == e.id && !q.ended) endQuery(q);
+    markTouched(q);
   }
-  void forgetEnded(std::int64_t group) {
+  // Erases an ended query once it has no live attempt.
+  void eraseIfFinished(std::int64_t group) {
     const Query& q = queries.at(group);
-    if (!q.ended || std::ranges::any_of(q.parts, &Part::anyLive)) return;
+    if (!q.ended || std::ranges::any_of(q.parts, &Part::hasLiveAttempt)) return;
     groupOf.erase(q.id);
     for (const Part& p : q.parts) groupOf.erase(p.id);
     queries.erase(group);
   }
-  void look(Query& q) {
-    if (!q.ended && q.fresh) admit(q);
-    if (!q.ended) conclude(q);
-    if (!q.ended) drive(q);
+  // Decides what to do about a query now.
+  void process(Query& q) {
+    if (!q.ended && q.awaitingAdmission) admit(q);
+    if (!q.ended) checkCompletion(q);
+    if (!q.ended) sendDueAttempts(q);
   }
   void react(std::span<const Event> events) {
     ++turn;
-    noteStandstill();
+    updateStallTime();
     for (const Event& event : events) std::visit([this](const auto& e) { on(e); }, event);
-    peerMean = pooled.ready() ? double(pooled.median) : 0.0;
-    followDiscovery();
-    if (now >= nextLook) {
-      compareServers();
-      judgeOverdue();
-      judgeJam();
-      for (Tracker& t : trackers) t.age(now - kNewestSpan);
-      pooled.age(now - kNewestSpan);
-      for (auto& [group, q] : queries) look(q);
-      nextLook = now + std::max(Micros(kLookShare * double(set.tick)), kLookEach * Micros(queries.size()));
+    fleetMedian = pooledLatency.ready() ? double(pooledLatency.median) : 0.0;
+    subscribeIfDue();
+    if (now >= nextSweep) {
+      updateThroughput();
+      checkOverdueAttempts();
+      updateAdmissionRatio();
+      for (LatencyTracker& t : latencyByClass) t.refreshMedian(now - kShortWindowSpan);
+      pooledLatency.refreshMedian(now - kShortWindowSpan);
+      for (auto& [group, q] : queries) process(q);
+      nextSweep = now + std::max(Micros(kMinSweepTicks * double(settings.tick)),
+                                 kSweepTimePerQuery * Micros(queries.size()));
     } else {
-      std::ranges::sort(touched);
-      for (const std::int64_t group : touched) look(queries.at(group));
+      std::ranges::sort(touchedGroups);
+      for (const std::int64_t group : touchedGroups) process(queries.at(group));
     }
-    for (const std::int64_t group : touched) {
+    for (const std::int64_t group : touchedGroups) {
       queries.at(group).touched = false;
-      forgetEnded(group);
+      eraseIfFinished(group);
     }
-    touched.clear();
-    const Micros gap = std::max(set.tick, queries.empty() ? 20 * kLook : kLook);
-    if (timerAt < 0 || timerAt > now + gap) {
-      timerAt = now + gap;
-      out.push_back(SetTimer{gap});
+    touchedGroups.clear();
+    const Micros timerInterval =
+        std::max(settings.tick, queries.empty() ? 20 * kSweepInterval : kSweepInterval);
+    if (timerAt < 0 || timerAt > now + timerInterval) {
+      timerAt = now + timerInterval;
+      actions.push_back(SetTimer{timerInterval});
     }
   }
 };
 
 Aggregator::Aggregator(Settings settings, std::uint64_t seed)
-    : brain_(std::make_unique<Brain>(std::move(settings), seed)) {}
+    : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
 Aggregator::~Aggregator() = default;
 Aggregator::Aggregator(Aggregator&&) noexcept = default;
 Aggregator& Aggregator::operator=(Aggregator&&) noexcept = default;
 
 Aggregator::Listed Aggregator::listed() const {
-  Listed out;
-  for (const auto& [id, s] : brain_->servers) {
-    if (s.state == ServerState::gone) continue;  // kept for what still points to it
-    ++out.all;
-    if (s.state == ServerState::draining || s.doubt.on || brain_->pathDoubted(s)) ++out.avoided;
+  Listed counts;
+  for (const auto& [id, s] : impl_->servers) {
+    if (s.state == ServerState::gone) continue;  // retained while attempts refer to it
+    ++counts.all;
+    if (s.state == ServerState::draining || s.ejection.active || impl_->routeEjected(s)) ++counts.avoided;
   }
-  return out;
+  return counts;
 }
 
 std::vector<Action> Aggregator::react(Micros now, std::span<const Event> events) {
-  brain_->now = now;
-  brain_->out.clear();
-  brain_->react(events);
-  return std::move(brain_->out);
+  impl_->now = now;
+  impl_->actions.clear();
+  impl_->react(events);
+  return std::move(impl_->actions);
 }
 
 }  // namespace cometdeal
