--- a/include/cometdeal/aggregator.hpp
+++ b/include/cometdeal/aggregator.hpp
@@ -1,6 +1,5 @@
-// The interface of the decision module: settings, events, actions, and the class that turns one into the
-// other. Types only. Every decision lives in src/brain.cpp. All times are integer microseconds on the host's
-// own clock.
+// The interface of the decision module: settings, events, actions, and the class that turns events into
+// actions. All decisions are made in src/brain.cpp. All times are integer microseconds on the host's clock.
 #pragma once
 
 #include <cstdint>
@@ -15,68 +14,76 @@
 
 using Micros = std::int64_t;
 
+// Whether a query may be executed twice. `safe`: always, it has no effect; `keyed`: within
+// ClassSettings::repeatWindow, in which the servers drop repeats with the same key; `unsafe`: never.
 enum class Effect { safe, keyed, unsafe };
+// `gone`: removed from the list.
 enum class ServerState { serving, draining, gone };
+// What discovery delivered: the list as saved before a restart, the full list, changes of it, or nothing.
 enum class ListKind { restored, complete, changes, unavailable };
+// How an attempt ended. `busy`: rejected by the server without running it; `skipped`: never sent.
 enum class Outcome { done, error, busy, timedOut, connectFailed, reset, cancelled, skipped };
 
-// What may be told of a class of query.
+// Settings of a class of queries.
 struct ClassSettings {
   Micros aim = 0;
   Micros deadline = 0;
   double worth = 1.0;
-  double lateShare = 0.0;  // of the worth, for an answer after the aim
+  double lateShare = 0.0;  // share of the worth that an answer after the aim earns
   Effect effect = Effect::safe;
-  std::optional<Micros> repeatWindow;  // keyed classes: for how long the servers drop repeats
-  double need = 1.0;                   // share of the first step's weight that makes a whole answer
-  double floor = 1.0;                  // least share that may be answered
-  double partial = 0.0;                // an answer that is not whole earns this x share / need
-  int followUp = 0;                    // parts of a second step; 0: one step only
+  std::optional<Micros> repeatWindow;  // keyed classes: how long the servers recognise and drop repeats
+  double need = 1.0;                   // share of the first step's weight that makes a complete answer
+  double floor = 1.0;                  // minimum share for a partial answer
+  double partial = 0.0;                // a partial answer earns the worth times partial x share / need
+  int followUp = 0;                    // parts of the second step; 0: one step only
   bool operator==(const ClassSettings&) const = default;
 };
 
 struct TenantSettings {
-  std::optional<double> allowancePerSecond;  // queries within its share, over all instances
+  std::optional<double> allowancePerSecond;  // queries a second within its share, over all instances
 };
 
+// How a server that has just started gains capacity, and what overloads it.
 struct ColdRule {
-  double startShare = 0.0;    // of its capacity, that a server has at least when it starts
-  Micros warmAfter = 0;       // by then it has all of it
-  double overloadFactor = 0;  // sent more than this times what it can do ...
-  Micros window = 0;          // ... for this long, it falls over
+  double startShare = 0.0;    // minimum share of its full capacity at the start
+  Micros warmAfter = 0;       // time from the start to full capacity
+  double overloadFactor = 0;  // a load of more than this times its present capacity ...
+  Micros window = 0;          // ... for this long makes it fail
 };
 
+// Limit of the attempts beyond the first of a part, within a sliding window.
 struct BudgetRule {
-  double free = 0.0;   // attempts beyond a part's first that are always allowed in a window
-  double share = 0.0;  // and so many more for each query and part taken in it
+  double free = 0.0;   // number that is always allowed
+  double share = 0.0;  // additional number for each query and part that arrived in the window
   Micros window = 0;
 };
 
 struct Settings {
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  std::optional<double> overShareWorth;  // worth of what a tenant sends beyond its share
+  std::optional<double> overShareWorth;  // factor for the worth of queries beyond their tenant's share
   std::optional<int> zone;               // of this instance
-  int instances = 1;
-  Micros tick = 0;
-  int cells = 1;      // shard s is held by the servers of cells (s + j) mod cells ...
-  int reach = 1;      // ... for j below reach
-  int bundleMax = 1;  // parts that share a call, when sent to one server in one turn
-  bool mayCancel = false;
-  bool maySecondCopy = false;
-  bool mustAskDiscovery = false;
+  int instances = 1;                     // number of instances that share the load
+  Micros tick = 0;                       // granularity of the host's timers
+  int cells = 1;                         // shard s is held by the servers of cells (s + j) mod cells ...
+  int reach = 1;                         // ... for 0 <= j < reach
+  int bundleMax = 1;              // maximum of parts in a call, for parts sent to a server in the same turn
+  bool mayCancel = false;         // whether attempts can be cancelled
+  bool maySecondCopy = false;     // whether a part may have two live attempts (hedging)
+  bool mustAskDiscovery = false;  // whether discovery reports only after Subscribe
   std::optional<int> maxAttempts;
-  std::optional<int> maxOpen;           // queries and parts held at once
-  std::optional<Micros> maxRetryAfter;  // absent: no retry hint reaches the client
-  std::optional<Micros> askWithin;      // discovery must be asked again within this, where not subscribed
-  std::optional<Micros> connIdle;       // connections unused for longer close by themselves
+  std::optional<int> maxOpen;           // maximum of open queries and parts
+  std::optional<Micros> maxRetryAfter;  // longest retry hint that clients follow; absent: they receive none
+  std::optional<Micros> askWithin;      // while not subscribed, discovery must be asked again within this
+  std::optional<Micros> connIdle;       // connections that have been idle for longer close by themselves
   std::optional<ColdRule> cold;
   std::optional<BudgetRule> budget;
 };
 
+// Load of a server, as reported with a response.
 struct LoadReport {
   std::optional<double> held;     // requests in the server
-  std::optional<double> waiting;  // of these, not yet in work
+  std::optional<double> waiting;  // those of them that are queued
 };
 
 struct ServerEntry {
@@ -92,25 +99,26 @@
   ListKind kind = ListKind::complete;
   std::vector<ServerEntry> entries;
 };
-// Of a query whose steps are ended by the host, by StepBegan or ClientGone. The module's Answer tells the
-// host then that nothing more comes of the present step.
+// Terms of a step that the host ends, by StepBegan or ClientGone. For such a query the module's Answer only
+// notifies the host that nothing more comes of the current step.
 struct StepTerms {
-  Micros time = 0;        // that the step may take, its copies included
-  double least = 1.0;     // weight without which nothing can be answered from it
-  bool fallback = false;  // what an earlier step brought can be answered in its place
+  Micros time = 0;        // time limit of the step, hedges included
+  double least = 1.0;     // minimum weight for an answer from this step
+  bool fallback = false;  // whether the result of an earlier step can be answered instead
 };
 struct QueryArrived {
   std::string id;
-  std::int64_t group = 0;
-  int cls = 0;
-  int tenant = 0;
-  int parts = 0;
-  Micros timeLeft = 0;
-  std::optional<std::string> key;
-  bool repeated = false;
-  std::optional<StepTerms> terms;
-};
-struct StepBegan {  // ahead of its parts
+  std::int64_t group = 0;          // identifies the query in its PartArrived events
+  int cls = 0;                     // index in Settings::classes
+  int tenant = 0;                  // index in Settings::tenants
+  int parts = 0;                   // number of PartArrived events to expect
+  Micros timeLeft = 0;             // until the deadline
+  std::optional<std::string> key;  // queries with the same key have the same home server for a shard
+  bool repeated = false;           // the client has sent it before
+  std::optional<StepTerms> terms;  // present: the host ends the steps
+};
+// A new step of a query whose steps the host ends. Precedes the PartArrived events of the step.
+struct StepBegan {
   std::string query;
   int parts = 0;
   StepTerms terms;
@@ -119,30 +127,32 @@
   std::string id;
   std::int64_t group = 0;
   int shard = 0;
-  double weight = 0.0;
-  std::string prefer = {};  // the server that has what the part needs at hand; empty: none
+  double weight = 0.0;      // share of the step's answer
+  std::string prefer = {};  // the server that already holds what the part needs; empty: none
 };
 struct AttemptEnded {
   std::string part;
-  int attempt = 0;
+  int attempt = 0;  // index of the attempt of this part, from 0 in order of its Send actions
   Outcome outcome = Outcome::done;
   std::string server;
   Micros elapsed = 0;
   std::optional<LoadReport> load;
 };
-struct ClientGone {  // or the host has ended the query
+// The client has disconnected, or the host has ended the query.
+struct ClientGone {
   std::string id;
 };
 struct TimerFired {};
-// Other settings from now on. Open queries keep their class by its place, so what stands there stays.
+// New settings. Open queries refer to their class by its index, so a class that is in use keeps its index.
 struct Retuned {
   Settings settings;
-  std::vector<int> from;  // by class: whose learned figures it takes over; -1: none
+  std::vector<int> from;  // by class: index of the old class whose learned values it takes over; -1: none
 };
 using Event = std::variant<ListArrived, QueryArrived, PartArrived, AttemptEnded, ClientGone, TimerFired,
                            StepBegan, Retuned>;
 
 // Actions.
+// Starts an attempt of a part.
 struct Send {
   std::string part;
   std::string server;
@@ -152,31 +162,38 @@
   std::string part;
   int attempt = 0;
 };
+// Answers a query, or its current step, with the parts done so far.
 struct Answer {
   std::string query;
-  bool whole = false;
+  bool whole = false;  // complete, not partial
 };
+// Ends a query without an answer. Its client may send it again.
 struct Refuse {
   std::string query;
   std::optional<Micros> retryAfter;
 };
+// Ends an unsafe query that may have run.
 struct Fail {
   std::string query;
 };
+// Asks for a TimerFired event after the delay.
 struct SetTimer {
   Micros delay = 0;
 };
-struct CloseIdle {  // closes the connections to a server that carry nothing now
+// Closes the idle connections to a server.
+struct CloseIdle {
   std::string server;
 };
+// Asks discovery for the server list and its changes.
 struct Subscribe {};
+// A line for the log.
 struct Note {
   std::string text;
 };
 using Action = std::variant<Send, Cancel, Answer, Refuse, Fail, SetTimer, CloseIdle, Subscribe, Note>;
 
-// One instance: it knows what its own events told it, and nothing else. The same events give the same
-// actions.
+// The decision module of one instance. It depends only on its settings, seed and events: the same events give
+// the same actions.
 class Aggregator {
  public:
   Aggregator(Settings settings, std::uint64_t seed);
@@ -184,13 +201,14 @@
   Aggregator(Aggregator&&) noexcept;
   Aggregator& operator=(Aggregator&&) noexcept;
 
-  // Servers on the list, and of these the ones that get nothing new but trials: draining, or in doubt.
+  // The number of servers on the list, and of those that receive no new parts except probes: draining,
+  // ejected, or behind an ejected zone route.
   struct Listed {
     int all = 0, avoided = 0;
   };
   Listed listed() const;
 
-  // Takes all that happened up to `now` in order of arrival; gives what to do, in the order to do it.
+  // Handles the events up to `now`, in order of arrival. Returns the actions in the order of execution.
   std::vector<Action> react(Micros now, std::span<const Event> events);
 
  private:
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -1,3 +1,4 @@
+// Reads and writes the simulator's JSON protocol. Unknown fields are ignored, absent ones have defaults.
 #include "codec.hpp"
 
 #include <cmath>
@@ -8,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-[[noreturn]] void complain(const std::string& what) { throw Malformed("malformed input: " + what); }
+[[noreturn]] void throwMalformed(const std::string& reason) { throw Malformed("malformed input: " + reason); }
 
 bool has(const Json& object, const char* name) {
   const auto at = object.find(name);
@@ -17,77 +18,80 @@
 
 const Json& field(const Json& object, const char* name) {
   const auto at = object.find(name);
-  if (at == object.end() || at->is_null()) complain(std::string("field '") + name + "' is missing");
+  if (at == object.end() || at->is_null()) throwMalformed(std::string("field '") + name + "' is missing");
   return *at;
 }
 
 double number(const Json& value, const char* name) {
-  if (!value.is_number()) complain(std::string("field '") + name + "' is not a number");
+  if (!value.is_number()) throwMalformed(std::string("field '") + name + "' is not a number");
   return value.get<double>();
 }
-double number(const Json& object, const char* name, double otherwise) {
-  return has(object, name) ? number(object[name], name) : otherwise;
+double number(const Json& object, const char* name, double fallback) {
+  return has(object, name) ? number(object[name], name) : fallback;
 }
 std::int64_t integer(const Json& object, const char* name) {
   const double value = number(field(object, name), name);
-  if (!(std::abs(value) < 9.0e15)) complain(std::string("field '") + name + "' is out of range");
+  if (!(std::abs(value) < 9.0e15)) throwMalformed(std::string("field '") + name + "' is out of range");
   return static_cast<std::int64_t>(value);
 }
-int small(const Json& object, const char* name, int otherwise) {
-  if (!has(object, name)) return otherwise;
+int smallInteger(const Json& object, const char* name, int fallback) {
+  if (!has(object, name)) return fallback;
   const double value = number(object[name], name);
-  if (!(std::abs(value) < 2.0e9)) complain(std::string("field '") + name + "' is out of range");
+  if (!(std::abs(value) < 2.0e9)) throwMalformed(std::string("field '") + name + "' is out of range");
   return static_cast<int>(value);
 }
 std::string text(const Json& object, const char* name) {
   const Json& value = field(object, name);
-  if (!value.is_string()) complain(std::string("field '") + name + "' is not text");
+  if (!value.is_string()) throwMalformed(std::string("field '") + name + "' is not text");
   return value.get<std::string>();
 }
-bool flag(const Json& object, const char* name, bool otherwise) {
-  if (!has(object, name)) return otherwise;
-  if (!object[name].is_boolean()) complain(std::string("field '") + name + "' is not true or false");
+bool flag(const Json& object, const char* name, bool fallback) {
+  if (!has(object, name)) return fallback;
+  if (!object[name].is_boolean()) throwMalformed(std::string("field '") + name + "' is not true or false");
   return object[name].get<bool>();
 }
 Micros toMicros(double millis, const char* name) {
-  if (!(std::abs(millis) < 9.0e15)) complain(std::string("field '") + name + "' is out of range");
+  if (!(std::abs(millis) < 9.0e15)) throwMalformed(std::string("field '") + name + "' is out of range");
   return static_cast<Micros>(std::llround(millis * 1000.0));
 }
 Micros micros(const Json& object, const char* name) {
   return toMicros(number(field(object, name), name), name);
 }
-std::optional<Micros> maybeMicros(const Json& object, const char* name) {
+std::optional<Micros> optionalMicros(const Json& object, const char* name) {
   if (!has(object, name)) return std::nullopt;
   return micros(object, name);
 }
 const Json& section(const Json& object, const char* name) {
   static const Json nothing = Json::object();
   if (!has(object, name)) return nothing;
-  if (!object[name].is_object()) complain(std::string("field '") + name + "' is not an object");
+  if (!object[name].is_object()) throwMalformed(std::string("field '") + name + "' is not an object");
   return object[name];
 }
 const Json& list(const Json& object, const char* name) {
   static const Json nothing = Json::array();
   if (!has(object, name)) return nothing;
-  if (!object[name].is_array()) complain(std::string("field '") + name + "' is not a list");
+  if (!object[name].is_array()) throwMalformed(std::string("field '") + name + "' is not a list");
   return object[name];
 }
-double entryOf(const Json& object, const char* name, std::size_t index, double otherwise) {
+// Element `index` of the list `name`, or `fallback` if it is absent or null.
+double numberAt(const Json& object, const char* name, std::size_t index, double fallback) {
   const Json& values = list(object, name);
-  return index < values.size() && !values[index].is_null() ? number(values[index], name) : otherwise;
+  return index < values.size() && !values[index].is_null() ? number(values[index], name) : fallback;
 }
 
+// The value that `text` stands for in the field `field`.
 template <typename T>
-T oneOf(const std::string& word, std::initializer_list<std::pair<const char*, T>> known, const char* what) {
-  for (const auto& [name, value] : known)
-    if (word == name) return value;
-  complain(std::string("unknown ") + what + " '" + word + "'");
+T enumValue(const std::string& text, std::initializer_list<std::pair<const char*, T>> names,
+            const char* field) {
+  for (const auto& [name, value] : names)
+    if (text == name) return value;
+  throwMalformed(std::string("unknown ") + field + " '" + text + "'");
 }
 
 }  // namespace
 
 Settings readSettings(const Json& info) {
-  if (!info.is_object()) complain("field 'bootInfo' is not an object");
+  if (!info.is_object()) throwMalformed("field 'bootInfo' is not an object");
   Settings out;
   const Json& family = section(info, "familyInfo");
   const Json& limits = section(info, "limits");
@@ -100,14 +104,14 @@
     cls.worth = number(one, "points", 1.0);
     cls.lateShare = number(one, "lateShare", 0.0);
     if (has(one, "effect"))
-      cls.effect = oneOf<Effect>(
+      cls.effect = enumValue<Effect>(
           text(one, "effect"), {{"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}},
           "effect");
-    cls.repeatWindow = maybeMicros(one, "dedupWindow");
-    cls.need = entryOf(family, "needByClass", index, 1.0);
-    cls.floor = entryOf(family, "classFloor", index, cls.need);
-    cls.partial = entryOf(family, "classPartial", index, 0.0);
-    cls.followUp = static_cast<int>(entryOf(family, "followUp", index, 0.0));
+    cls.repeatWindow = optionalMicros(one, "dedupWindow");
+    cls.need = numberAt(family, "needByClass", index, 1.0);
+    cls.floor = numberAt(family, "classFloor", index, cls.need);
+    cls.partial = numberAt(family, "classPartial", index, 0.0);
+    cls.followUp = static_cast<int>(numberAt(family, "followUp", index, 0.0));
     out.classes.push_back(cls);
     ++index;
   }
@@ -117,24 +121,24 @@
     out.tenants.push_back(tenant);
   }
   if (has(info, "overShareWorth")) out.overShareWorth = number(info["overShareWorth"], "overShareWorth");
-  if (has(info, "az")) out.zone = small(info, "az", 0);
-  out.instances = small(info, "balancers", 1);
-  out.tick = maybeMicros(info, "tick").value_or(0);
-  out.cells = small(family, "positions", 1);
-  out.reach = small(family, "reach", 1);
-  out.bundleMax = small(family, "bundleMax", 1);
+  if (has(info, "az")) out.zone = smallInteger(info, "az", 0);
+  out.instances = smallInteger(info, "balancers", 1);
+  out.tick = optionalMicros(info, "tick").value_or(0);
+  out.cells = smallInteger(family, "positions", 1);
+  out.reach = smallInteger(family, "reach", 1);
+  out.bundleMax = smallInteger(family, "bundleMax", 1);
   out.mayCancel = flag(limits, "cancel", false);
   out.maySecondCopy = flag(limits, "secondCopies", false);
   out.mustAskDiscovery = has(info, "discovery") && text(info, "discovery") == "on_request";
-  if (has(limits, "maxAttempts")) out.maxAttempts = small(limits, "maxAttempts", 0);
-  out.connIdle = maybeMicros(limits, "connIdle");
-  if (has(limits, "maxOpen")) out.maxOpen = small(limits, "maxOpen", 0);
-  if (flag(limits, "retryAfter", false)) out.maxRetryAfter = maybeMicros(limits, "maxRetryAfter");
-  out.askWithin = maybeMicros(safety, "askWithin");
+  if (has(limits, "maxAttempts")) out.maxAttempts = smallInteger(limits, "maxAttempts", 0);
+  out.connIdle = optionalMicros(limits, "connIdle");
+  if (has(limits, "maxOpen")) out.maxOpen = smallInteger(limits, "maxOpen", 0);
+  if (flag(limits, "retryAfter", false)) out.maxRetryAfter = optionalMicros(limits, "maxRetryAfter");
+  out.askWithin = optionalMicros(safety, "askWithin");
   if (has(safety, "overloadFactor") && has(safety, "fall")) {
     ColdRule cold;
     cold.startShare = number(safety, "startCapacity", 0.0);
-    cold.warmAfter = maybeMicros(safety, "cold").value_or(0);
+    cold.warmAfter = optionalMicros(safety, "cold").value_or(0);
     cold.overloadFactor = number(safety, "overloadFactor", 0.0);
     cold.window = micros(safety, "fall");
     out.cold = cold;
@@ -151,6 +155,7 @@
 
 namespace {
 
+// The names of the columns of `healthInfo`.
 std::vector<std::string> readColumns(const Json& info) {
   std::vector<std::string> out;
   for (const Json& name : list(section(info, "report"), "columns"))
@@ -171,41 +176,42 @@
 }
 
 std::vector<ServerEntry> readTable(const Json& body) {
-  if (!field(body, "records").is_array()) complain("field 'records' is not a list");
+  if (!field(body, "records").is_array()) throwMalformed("field 'records' is not a list");
   std::vector<ServerEntry> out;
   for (const Json& one : body["records"]) {
-    if (!one.is_object()) complain("an entry of 'records' is not an object");
+    if (!one.is_object()) throwMalformed("an entry of 'records' is not an object");
     ServerEntry entry;
     entry.id = text(one, "server");
-    entry.zone = small(one, "site", 0);
-    entry.cell = small(one, "place", 0);
-    entry.state = oneOf<ServerState>(text(one, "readiness"),
-                                     {{"in_service", ServerState::serving},
-                                      {"terminating", ServerState::draining},
-                                      {"terminated", ServerState::gone}},
-                                     "readiness");
-    entry.started = maybeMicros(one, "launched");
-    if (entry.started && *entry.started == 0) entry.started.reset();
+    entry.zone = smallInteger(one, "site", 0);
+    entry.cell = smallInteger(one, "place", 0);
+    entry.state = enumValue<ServerState>(text(one, "readiness"),
+                                         {{"in_service", ServerState::serving},
+                                          {"terminating", ServerState::draining},
+                                          {"terminated", ServerState::gone}},
+                                         "readiness");
+    entry.started = optionalMicros(one, "launched");
+    if (entry.started && *entry.started == 0) entry.started.reset();  // 0: long ago
     out.push_back(std::move(entry));
   }
   return out;
 }
 
 Outcome readOutcome(const Json& body) {
-  return oneOf<Outcome>(text(body, "stateCode"),
-                        {{"done", Outcome::done},
-                         {"err", Outcome::error},
-                         {"busy", Outcome::busy},
-                         {"etimedout", Outcome::timedOut},
-                         {"econnrefused", Outcome::connectFailed},
-                         {"econnreset", Outcome::reset},
-                         {"ecanceled", Outcome::cancelled},
-                         {"skipped", Outcome::skipped}},
-                        "stateCode");
+  return enumValue<Outcome>(text(body, "stateCode"),
+                            {{"done", Outcome::done},
+                             {"err", Outcome::error},
+                             {"busy", Outcome::busy},
+                             {"etimedout", Outcome::timedOut},
+                             {"econnrefused", Outcome::connectFailed},
+                             {"econnreset", Outcome::reset},
+                             {"ecanceled", Outcome::cancelled},
+                             {"skipped", Outcome::skipped}},
+                            "stateCode");
 }
 
+// Reads an arriving query, or a part of one if it names a shard.
 Event readIncoming(const Json& body) {
-  const int shard = small(body, "shard", -1);
+  const int shard = smallInteger(body, "shard", -1);
   if (shard >= 0) {
     PartArrived part;
     part.id = text(body, "tid");
@@ -217,26 +223,28 @@
   QueryArrived query;
   query.id = text(body, "tid");
   query.group = integer(body, "groupNo");
-  query.cls = small(body, "lane", 0);
-  query.tenant = small(body, "realm", 0);
-  query.parts = small(body, "heft", 0);
+  query.cls = smallInteger(body, "lane", 0);
+  query.tenant = smallInteger(body, "realm", 0);
+  query.parts = smallInteger(body, "heft", 0);
   query.timeLeft = micros(body, "expiresIn");
   if (has(body, "key")) query.key = text(body, "key");
   query.repeated = flag(body, "resent", false);
   return query;
 }
 
+// An object with the single key `name`.
 Json object(const char* name, Json body) {
   Json out = Json::object();
   out[name] = std::move(body);
   return out;
 }
-double millis(Micros value) { return static_cast<double>(value) / 1000.0; }
+double toMillis(Micros value) { return static_cast<double>(value) / 1000.0; }
 
+// Formats an action of instance `i`.
 struct Writer {
   std::int64_t i;
   Json operator()(const Send& a) const {
-    return object("Issue", {{"i", i}, {"tid", a.part}, {"server", a.server}, {"limit", millis(a.timeout)}});
+    return object("Issue", {{"i", i}, {"tid", a.part}, {"server", a.server}, {"limit", toMillis(a.timeout)}});
   }
   Json operator()(const Cancel& a) const {
     return object("AbortAttempt", {{"i", i}, {"tid", a.part}, {"n", a.attempt}});
@@ -246,12 +254,12 @@
   }
   Json operator()(const Refuse& a) const {
     Json body = {{"i", i}, {"tid", a.query}};
-    if (a.retryAfter) body["pause"] = millis(*a.retryAfter);
+    if (a.retryAfter) body["pause"] = toMillis(*a.retryAfter);
     return object("Shed", std::move(body));
   }
   Json operator()(const Fail& a) const { return object("Lose", {{"i", i}, {"tid", a.query}}); }
   Json operator()(const SetTimer& a) const {
-    return object("NotifyMe", {{"i", i}, {"sleepFor", millis(a.delay)}, {"nonce", "look"}});
+    return object("NotifyMe", {{"i", i}, {"sleepFor", toMillis(a.delay)}, {"nonce", "look"}});
   }
   Json operator()(const CloseIdle& a) const { return object("Disconnect", {{"i", i}, {"server", a.server}}); }
   Json operator()(const Subscribe&) const { return object("KeepInformed", {{"i", i}, {"full", true}}); }
@@ -262,26 +270,26 @@
 
 std::string Host::answer(const std::string& line) {
   const Json batch = Json::parse(line, nullptr, false);
-  if (batch.is_discarded()) complain("not JSON");
-  if (!batch.is_object()) complain("a batch is not an object");
+  if (batch.is_discarded()) throwMalformed("not JSON");
+  if (!batch.is_object()) throwMalformed("a batch is not an object");
   const Micros now = micros(batch, "moment");
-  if (!field(batch, "items").is_array()) complain("field 'items' is not a list");
+  if (!field(batch, "items").is_array()) throwMalformed("field 'items' is not a list");
 
   Json steps = Json::array();
   std::vector<std::int64_t> order;  // instances in order of their first event
   std::map<std::int64_t, std::vector<Event>> events;
   const auto add = [&](std::int64_t i, Event event) {
-    if (!instances_.contains(i)) complain("instance " + std::to_string(i) + " was not configured");
+    if (!instances_.contains(i)) throwMalformed("instance " + std::to_string(i) + " was not configured");
     auto& queue = events[i];
     if (queue.empty()) order.push_back(i);
     queue.push_back(std::move(event));
   };
 
   for (const Json& item : batch["items"]) {
-    if (!item.is_object() || item.size() != 1) complain("an event is not an object with one key");
+    if (!item.is_object() || item.size() != 1) throwMalformed("an event is not an object with one key");
     const std::string name = item.begin().key();
     const Json& body = item.begin().value();
-    if (!body.is_object()) complain("the fields of '" + name + "' are not an object");
+    if (!body.is_object()) throwMalformed("the fields of '" + name + "' are not an object");
     if (name == "Roster") {
       tables_[integer(body, "table")] = readTable(body);
       continue;
@@ -289,7 +297,7 @@
     const std::int64_t i = integer(body, "i");
     if (name == "Configure") {
       const Json& seed = field(body, "randomSeed");
-      if (!seed.is_number_integer()) complain("field 'randomSeed' is not an integer");
+      if (!seed.is_number_integer()) throwMalformed("field 'randomSeed' is not an integer");
       const Json& info = field(body, "bootInfo");
       instances_.erase(i);
       instances_.emplace(i, Aggregator(readSettings(info), seed.get<std::uint64_t>()));
@@ -302,31 +310,31 @@
       events.erase(i);
     } else if (name == "PeersKnown") {
       ListArrived event;
-      event.kind = oneOf<ListKind>(text(body, "mode"),
-                                   {{"restored", ListKind::restored},
-                                    {"replace", ListKind::complete},
-                                    {"update", ListKind::changes},
-                                    {"unavailable", ListKind::unavailable}},
-                                   "mode");
+      event.kind = enumValue<ListKind>(text(body, "mode"),
+                                       {{"restored", ListKind::restored},
+                                        {"replace", ListKind::complete},
+                                        {"update", ListKind::changes},
+                                        {"unavailable", ListKind::unavailable}},
+                                       "mode");
       if (event.kind != ListKind::unavailable) {
         const auto table = tables_.find(integer(body, "table"));
-        if (table == tables_.end()) complain("unknown table " + std::to_string(integer(body, "table")));
+        if (table == tables_.end()) throwMalformed("unknown table " + std::to_string(integer(body, "table")));
         event.entries = table->second;
       }
       add(i, std::move(event));
     } else if (name == "Incoming") {
       add(i, readIncoming(body));
     } else if (name == "AttemptEnd") {
-      add(i, AttemptEnded{text(body, "tid"), small(body, "n", 0), readOutcome(body), text(body, "server"),
-                          micros(body, "costTime"), readLoad(body, columns_[i])});
+      add(i, AttemptEnded{text(body, "tid"), smallInteger(body, "n", 0), readOutcome(body),
+                          text(body, "server"), micros(body, "costTime"), readLoad(body, columns_[i])});
     } else if (name == "Wakeup") {
       add(i, TimerFired{});
     } else if (name == "Hangup") {
       add(i, ClientGone{text(body, "tid")});
     } else if (name == "Started" || name == "Peer" || name == "Probed") {
-      continue;  // streams, messages among instances and probes: no decision asks for them
+      continue;  // not used by the decision module: streams, messages among instances and probe results
     } else {
-      complain("unknown event '" + name + "'");
+      throwMalformed("unknown event '" + name + "'");
     }
   }
 
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -1,4 +1,4 @@
-// The simulator's JSON wire, read into events and written from actions. Translates; decides nothing.
+// Codec for the simulator's JSON protocol: parses its messages into events, and formats actions as replies.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -9,25 +9,25 @@
 
 namespace cometdeal::wire {
 
-// What is wrong with the input, in one line.
+// Malformed input. The message describes the first fault in one line.
 struct Malformed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// The settings of an instance: `bootInfo` on the wire, `settings` in a real mixer's configuration. Throws
-// Malformed.
+// Reads the settings of an instance: `bootInfo` in the protocol, `settings` in the configuration of a mixer.
+// Throws Malformed.
 Settings readSettings(const nlohmann::json& info);
 
-// All instances that this process hosts. They share the numbered lists of the wire and nothing else.
+// The instances that this process hosts. They share nothing but the numbered server lists of the protocol.
 class Host {
  public:
-  // One batch in, one reply out, both without the line end. Throws Malformed.
+  // Handles a batch and returns the reply, both without a line end. Throws Malformed.
   std::string answer(const std::string& line);
 
  private:
   std::map<std::int64_t, Aggregator> instances_;
-  std::map<std::int64_t, std::vector<ServerEntry>> tables_;
-  std::map<std::int64_t, std::vector<std::string>> columns_;
+  std::map<std::int64_t, std::vector<ServerEntry>> tables_;   // server lists by number
+  std::map<std::int64_t, std::vector<std::string>> columns_;  // columns of `healthInfo`, by instance
 };
 
 }  // namespace cometdeal::wire
--- a/src/wire/wirehost.cpp
+++ b/src/wire/wirehost.cpp
@@ -1,5 +1,5 @@
-// Hosts the decision module on the simulator's wire: a batch a line on standard input, a reply a line on
-// standard output.
+// Hosts the decision module for the simulator: reads a batch from each line of standard input, and writes the
+// reply as a line to standard output.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -19,8 +19,8 @@
       std::cout.write(reply.data(), static_cast<std::streamsize>(reply.size()));
       std::cout.flush();
     }
-  } catch (const std::exception& problem) {
-    std::cerr << "cometdeal_wirehost: " << problem.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "cometdeal_wirehost: " << error.what() << '\n';
     return 2;
   }
   return 0;
