--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -1,4 +1,4 @@
-// Reads and writes the simulator's JSON protocol. Unknown fields are ignored, absent ones have defaults.
+// Reads and writes the simulator's JSON protocol. Unknown fields are ignored; most settings have defaults.
 #include "codec.hpp"
 
 #include <cmath>
@@ -291,7 +291,7 @@
     const Json& body = item.begin().value();
     if (!body.is_object()) throwMalformed("the fields of '" + name + "' are not an object");
     if (name == "Roster") {
-      tables_[integer(body, "table")] = readTable(body);
+      serverLists_[integer(body, "table")] = readTable(body);
       continue;
     }
     const std::int64_t i = integer(body, "i");
@@ -301,7 +301,7 @@
       const Json& info = field(body, "bootInfo");
       instances_.erase(i);
       instances_.emplace(i, Aggregator(readSettings(info), seed.get<std::uint64_t>()));
-      columns_[i] = readColumns(info);
+      loadColumns_[i] = readColumns(info);
       std::erase(order, i);
       events.erase(i);
     } else if (name == "Retire") {
@@ -317,8 +317,9 @@
                                         {"unavailable", ListKind::unavailable}},
                                        "mode");
       if (event.kind != ListKind::unavailable) {
-        const auto table = tables_.find(integer(body, "table"));
-        if (table == tables_.end()) throwMalformed("unknown table " + std::to_string(integer(body, "table")));
+        const auto table = serverLists_.find(integer(body, "table"));
+        if (table == serverLists_.end())
+          throwMalformed("unknown table " + std::to_string(integer(body, "table")));
         event.entries = table->second;
       }
       add(i, std::move(event));
@@ -326,7 +327,7 @@
       add(i, readIncoming(body));
     } else if (name == "AttemptEnd") {
       add(i, AttemptEnded{text(body, "tid"), smallInteger(body, "n", 0), readOutcome(body),
-                          text(body, "server"), micros(body, "costTime"), readLoad(body, columns_[i])});
+                          text(body, "server"), micros(body, "costTime"), readLoad(body, loadColumns_[i])});
     } else if (name == "Wakeup") {
       add(i, TimerFired{});
     } else if (name == "Hangup") {
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -26,8 +26,8 @@
 
  private:
   std::map<std::int64_t, Aggregator> instances_;
-  std::map<std::int64_t, std::vector<ServerEntry>> tables_;   // server lists by number
-  std::map<std::int64_t, std::vector<std::string>> columns_;  // columns of `healthInfo`, by instance
+  std::map<std::int64_t, std::vector<ServerEntry>> serverLists_;  // server lists by number
+  std::map<std::int64_t, std::vector<std::string>> loadColumns_;  // columns of `healthInfo`, by instance
 };
 
 }  // namespace cometdeal::wire
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the decision module: events in, actions out, in virtual time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,7 +12,8 @@
 
 namespace {
 
-std::map<std::string, std::string> homes(std::uint64_t seed) {
+// The home server of each of 20 keys.
+std::map<std::string, std::string> homesByKey(std::uint64_t seed) {
   Rig rig(plainSettings(), seed);
   rig.servers(fleet(4));
   std::map<std::string, std::string> out;
@@ -23,10 +25,10 @@
   return out;
 }
 
-// ---- The design's ordinary path ----
+// ---- Placement, hedges and retries ----
 
 TEST(Design, AllInstancesAgreeOnTheHomeOfAKey) {
-  const auto one = homes(1), other = homes(99);
+  const auto one = homesByKey(1), other = homesByKey(99);
   EXPECT_EQ(one, other);
   std::set<std::string> used;
   for (const auto& [key, server] : one) used.insert(server);
@@ -93,7 +95,7 @@
   EXPECT_LE(rig.sends.size() - before, 40u + 2u + 4u + 1u);
 }
 
-// ---- Rule 1: no query is lost ----
+// ---- Rule 1: each query gets one final answer ----
 
 TEST(Rules, EveryQueryEndsOnceBeforeItsTimeAndNothingIsSentAfter) {
   Rig rig(plainSettings());
@@ -141,7 +143,7 @@
   EXPECT_EQ(rig.refusals.size(), 1u);
 }
 
-// ---- Rule 2: no effect happens twice ----
+// ---- Rule 2: no effect takes place twice ----
 
 class MayHaveRun : public testing::TestWithParam<Outcome> {};
 TEST_P(MayHaveRun, AnUnsafePartIsNeitherResentNorItsQueryRefused) {
@@ -198,7 +200,7 @@
     set.classes[0].repeatWindow = 300 * ms;
     Rig rig(set);
     rig.servers(fleet(3));
-    rig.warm(30, 500 * ms);  // no copy before 500 ms
+    rig.warm(30, 500 * ms);  // no hedge before 500 ms
     const std::size_t before = rig.sends.size();
     rig.query(1);
     rig.pass(inTime ? 200 * ms : 310 * ms);
@@ -208,7 +210,7 @@
   }
 }
 
-// ---- Rule 3: drains ----
+// ---- Rule 3: draining servers receive no new parts ----
 
 TEST(Rules, NothingGoesToADrainingOrGoneServer) {
   for (const ServerState state : {ServerState::draining, ServerState::gone}) {
@@ -248,7 +250,8 @@
 // ---- Rule 4: cold servers ----
 
 TEST(Rules, ManyInstancesTogetherKeepAColdServerUnderItsShareAndStillUseIt) {
-  // Sixty instances with little traffic each: an allowance of one send each would let all of it through.
+  // Guards against a limit on sends for each instance alone. With sixty instances of little traffic, one send
+  // for each of them would be all of the traffic.
   int cold = 0, warm = 0;
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
     Settings set = plainSettings();
@@ -269,7 +272,7 @@
     }
   }
   EXPECT_GT(cold, 0);
-  EXPECT_LT(cold, (cold + warm) * 0.16);  // half of the keys are at home there; a fifth of those may pass
+  EXPECT_LT(cold, (cold + warm) * 0.16);  // it is home to half of the keys, and a fifth of those may go there
   EXPECT_EQ(cold + warm, 600);
 }
 
@@ -283,10 +286,10 @@
   EXPECT_EQ(rig.sends.size(), 5u);
   rig.servers({{"s0", 0, 0, ServerState::serving, rig.now}}, ListKind::changes);
   for (int k = 0; k < 5; ++k) rig.query(1, 0, 4000 * ms, std::to_string(k));
-  EXPECT_LE(rig.sends.size(), 6u);  // the rest wait for the next window
+  EXPECT_LE(rig.sends.size(), 6u);  // the others wait for the next window
 }
 
-// ---- Rule 5: honest answers ----
+// ---- Rule 5: answers state correctly whether they are complete ----
 
 Settings partialSettings() {
   Settings set = plainSettings();
@@ -296,16 +299,16 @@
 }
 
 TEST(Rules, NoAnswerBelowTheFloorAndNoneMarkedWholeThatIsNot) {
-  for (const int in : {1, 2}) {
+  for (const int doneParts : {1, 2}) {
     Rig rig(partialSettings());
     rig.servers(fleet(3));
     rig.query(4);
-    for (int k = 0; k < in; ++k) rig.finish(std::size_t(k));
-    EXPECT_TRUE(rig.answers.empty());  // waits until the aim
+    for (int k = 0; k < doneParts; ++k) rig.finish(std::size_t(k));
+    EXPECT_TRUE(rig.answers.empty());  // waits for the other parts until the aim
     rig.pass(4000 * ms);
     EXPECT_EQ(rig.ended(), 1u);
-    ASSERT_EQ(rig.answers.size(), in == 2 ? 1u : 0u);
-    if (in == 2) {
+    ASSERT_EQ(rig.answers.size(), doneParts == 2 ? 1u : 0u);
+    if (doneParts == 2) {
       EXPECT_FALSE(rig.answers[0].whole);
     }
   }
@@ -346,24 +349,24 @@
   }
 }
 
-TEST(Rules, SharesThatAreMetExactlyCount) {  // 4 x 1/6 against 2/3, within rounding
+TEST(Rules, SharesThatAreMetExactlyCount) {  // 4 x 1/6 equals 2/3 within rounding
   Settings set = plainSettings();
   set.classes[0].need = set.classes[0].floor = 2.0 / 3.0;
   Rig rig(set);
   rig.servers(fleet(3));
   rig.query(6);
-  ASSERT_EQ(rig.sends.size(), 4u);  // the rest are spares
+  ASSERT_EQ(rig.sends.size(), 4u);  // the other two are spares
   for (std::size_t k = 0; k < 4; ++k) rig.finish(k);
   ASSERT_EQ(rig.answers.size(), 1u);
   EXPECT_TRUE(rig.answers[0].whole);
 }
 
-// ---- Rule 6: budget of attempts ----
+// ---- Rule 6: the budget limits attempts ----
 
 TEST(Rules, FurtherAttemptsStayWithinTheBudgetWhereOneIsTold) {
-  for (const bool told : {true, false}) {
+  for (const bool limited : {true, false}) {
     Settings set = plainSettings();
-    if (told) set.budget = BudgetRule{1.0, 0.0, 2000 * ms};
+    if (limited) set.budget = BudgetRule{1.0, 0.0, 2000 * ms};
     Rig rig(set);
     rig.servers(fleet(3));
     rig.warm(100, 20 * ms);
@@ -371,7 +374,7 @@
     const std::size_t before = rig.sends.size();
     rig.query(6);
     for (std::size_t k = 0; k < 6; ++k) rig.finish(before + k, Outcome::error);
-    EXPECT_EQ(rig.sends.size() - before, told ? 7u : 12u);
+    EXPECT_EQ(rig.sends.size() - before, limited ? 7u : 12u);
   }
 }
 
@@ -403,21 +406,21 @@
   EXPECT_EQ(rig.ended(), 31u);
 }
 
-// ---- Health ----
+// ---- Health: latency and ejection of servers ----
 
-// A server that was just heard from, so that its connection is above suspicion.
-std::string talkTo(Rig& rig) {
+// Serves a query, so that the connection to its server has just been in use. Returns that server.
+std::string serveOneQuery(Rig& rig) {
   rig.query(1, 0, 4000 * ms, "quiet");
   const std::string server = rig.sends.back().server;
   rig.finish(rig.sends.size() - 1);
   return server;
 }
-// Queries whose parts are served at once, except at the silent server.
+// Sends queries whose parts are served at once, except at the silent server. Returns the number sent there.
 std::size_t serveOthers(Rig& rig, const std::string& silent, int queries) {
   std::size_t atSilent = 0;
   for (int k = 0; k < queries; ++k) {
     rig.query(1, 0, 4000 * ms, "n" + std::to_string(rig.queries));
-    rig.now += 5 * ms;  // a tick: what does not concern a query is looked at once a tick
+    rig.now += 5 * ms;  // one tick, so that the next turn sweeps all queries
     if (rig.sends.back().server == silent)
       ++atSilent;
     else
@@ -427,43 +430,43 @@
 }
 
 TEST(Health, ASilentServerLosesFirstSendsAndIsTriedByAPartThatCanBeSentAgain) {
-  // Guards against capacity lost for good, as nothing is probed; should hold for hangs, silence,
-  // flapping.
+  // Guards against capacity that is lost for good because an ejected server is never probed, as after hangs,
+  // silence or flapping.
   Rig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warm(30, 50 * ms);
-  const std::string silent = talkTo(rig);
+  const std::string silent = serveOneQuery(rig);
   rig.query(1, 0, 4000 * ms, "quiet");
-  const std::size_t owed = rig.sends.size() - 1;
+  const std::size_t firstUnanswered = rig.sends.size() - 1;
   ASSERT_EQ(rig.sends.back().server, silent);
   rig.pass(60 * ms);
-  serveOthers(rig, silent, 6);  // peers serve what was sent later
+  serveOthers(rig, silent, 6);  // the other servers serve parts that were sent later
   rig.pass(200 * ms);
   EXPECT_EQ(serveOthers(rig, silent, 20), 0u);
   rig.step({ClientGone{"q" + std::to_string(rig.queries)}});
-  for (std::size_t k = owed; k < rig.sends.size(); ++k) rig.finish(k, Outcome::cancelled);
+  for (std::size_t k = firstUnanswered; k < rig.sends.size(); ++k) rig.finish(k, Outcome::cancelled);
   rig.pass(700 * ms);
   const std::size_t before = rig.sends.size();
   for (int k = 0; k < 20 && rig.sends.back().server != silent; ++k)
     rig.query(1, 0, 4000 * ms, "t" + std::to_string(k));
-  bool tried = false;
+  bool probed = false;
   for (std::size_t k = before; k < rig.sends.size(); ++k) {
     if (rig.sends[k].server != silent) continue;
-    tried = true;
+    probed = true;
     rig.pass(10 * ms);
     EXPECT_GT(std::ranges::count_if(rig.sends, [&](const Send& s) { return s.part == rig.sends[k].part; }),
               1);
     break;
   }
-  EXPECT_TRUE(tried);
+  EXPECT_TRUE(probed);
 }
 
 TEST(Health, AServerThatRefusesWhatComesAndServesNothingIsSilent) {
-  // Guards against full, hung servers whose refusals look like signs of life.
+  // Guards against taking the busy responses of an overloaded or hung server for a sign of health.
   Rig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warm(30, 50 * ms);
-  const std::string hung = talkTo(rig);
+  const std::string hung = serveOneQuery(rig);
   rig.pass(5 * ms);
   rig.query(1, 0, 4000 * ms, "quiet");
   ASSERT_EQ(rig.sends.back().server, hung);
@@ -476,18 +479,19 @@
   EXPECT_EQ(serveOthers(rig, hung, 20), 0u);
 }
 
-// Parts of many shards, of which those homed at some servers are refused while the bucket is empty.
+// Rejects the parts sent to the first `refusing` of ten servers as busy while the token bucket is empty.
+// Returns how many of them are sent again at once.
 std::size_t resentAfterRefusals(int refusing) {
   Rig rig(plainSettings());
   rig.servers(fleet(10));
-  rig.warm(9, 50 * ms);  // under one token
-  std::set<std::string> full;
-  for (int k = 0; k < refusing; ++k) full.insert("s" + std::to_string(k));
+  rig.warm(9, 50 * ms);  // less than one token
+  std::set<std::string> busyServers;
+  for (int k = 0; k < refusing; ++k) busyServers.insert("s" + std::to_string(k));
   std::size_t refused = 0, resent = 0;
   for (int k = 0; k < 30; ++k) {
     rig.query(1, 0, 4000 * ms, "r" + std::to_string(k));
     const std::size_t at = rig.sends.size() - 1;
-    if (!full.contains(rig.sends[at].server)) continue;
+    if (!busyServers.contains(rig.sends[at].server)) continue;
     rig.finish(at, Outcome::busy);
     ++refused;
     resent += rig.sends.size() > at + 1;
@@ -496,7 +500,8 @@
   return resent;
 }
 TEST(Health, WhatAFewServersRefuseIsSentElsewhereWithoutATokenButNotWhereManyRefuse) {
-  // Guards against parts that wait for a token at a full, hung server; may hurt in a burst, hence the limit.
+  // Guards against parts that wait for a token after a rejection by an overloaded or hung server. In a burst
+  // that many servers reject, resending would add load; it then needs a token.
   EXPECT_GE(resentAfterRefusals(1), 1u);
   EXPECT_LE(resentAfterRefusals(10), 3u);
 }
@@ -507,28 +512,30 @@
   return out;
 }
 bool inZoneOne(const std::string& server) { return (server[1] - '0') % 2 == 1; }
-// Queries of four parts; what goes to zone 1 is not answered, the rest at once. Counts first sends to zone 1.
+// Sends queries of four parts. Parts sent to zone 1, or all if `allLost`, are not answered; the others are at
+// once. Returns the number of first attempts sent to zone 1.
 std::size_t withZoneOneLost(Rig& rig, int queries, bool allLost = false) {
-  std::size_t there = 0;
+  std::size_t sentToZoneOne = 0;
   for (int k = 0; k < queries; ++k) {
     const std::size_t from = rig.sends.size();
     rig.query(4, 0, 4000 * ms, "z" + std::to_string(rig.queries));
     for (std::size_t n = from; n < from + 4 && n < rig.sends.size(); ++n) {
-      there += inZoneOne(rig.sends[n].server);
+      sentToZoneOne += inZoneOne(rig.sends[n].server);
       if (!inZoneOne(rig.sends[n].server) && !allLost) rig.finish(n);
     }
     rig.pass(70 * ms);
   }
-  return there;
+  return sentToZoneOne;
 }
 
 TEST(Paths, TheWayToAZoneIsLeftWhenMostThereIsLateThoughNoServerHasShownItTwice) {
-  // Guards against learning each server behind a bad link anew: slow, cut and lossy links, lost zones.
+  // Guards against judging each server of a lost zone, or behind a slow, cut or lossy link, on its own: that
+  // costs late parts at each of them.
   Rig rig(plainSettings());
   rig.servers(twoZones());
   rig.warm(40, 30 * ms);
   EXPECT_GT(withZoneOneLost(rig, 6), 2u);
-  EXPECT_LE(withZoneOneLost(rig, 10), 3u);  // trials only
+  EXPECT_LE(withZoneOneLost(rig, 10), 3u);  // probes only
 }
 
 TEST(Paths, TheWayIsTakenAgainAfterATrialThatWasAnsweredInTime) {
@@ -536,16 +543,16 @@
   rig.servers(twoZones());
   rig.warm(40, 30 * ms);
   withZoneOneLost(rig, 8);
-  std::size_t there = 0;
+  std::size_t sentToZoneOne = 0;
   for (int k = 0; k < 200; ++k) {
     const std::size_t from = rig.sends.size();
     rig.query(1, 0, 4000 * ms, "back" + std::to_string(k));
     ASSERT_GT(rig.sends.size(), from) << k << ": " << rig.refusals.size() << " refused";
     for (std::size_t n = from; n < rig.sends.size(); ++n) rig.finish(n);
-    if (k >= 150) there += inZoneOne(rig.sends[from].server);
+    if (k >= 150) sentToZoneOne += inZoneOne(rig.sends[from].server);
     rig.pass(20 * ms);
   }
-  EXPECT_GT(there, 5u);
+  EXPECT_GT(sentToZoneOne, 5u);
 }
 
 TEST(Paths, WhatIsLateEverywhereDoubtsNoWay) {
@@ -557,149 +564,152 @@
   EXPECT_GT(withZoneOneLost(rig, 3, true), 3u);
 }
 
-// ---- Server, connection or query: what a failed attempt is held against ----
+// ---- Suspects: whether the server, the connection or the query caused a failed attempt ----
 
 TEST(Suspects, AResetAfterIdlenessDoubtsNoServerButTheSameOnABusyConnectionDoes) {
-  // Guards against trust lost fleet-wide when idle connections are dropped unseen; should hold against any
-  // middlebox that forgets them.
+  // Guards against ejecting servers throughout the fleet when a middlebox silently drops idle connections.
   for (const Micros pause : {3000 * ms, 50 * ms}) {
     Rig rig(plainSettings());
     rig.servers(fleet(3));
     rig.warm(30, 50 * ms);
-    const std::string server = talkTo(rig);
+    const std::string server = serveOneQuery(rig);
     rig.pass(pause);
     rig.query(1, 0, 4000 * ms, "quiet");
     ASSERT_EQ(rig.sends.back().server, server);
     rig.finish(rig.sends.size() - 1, Outcome::reset);
-    const bool left = serveOthers(rig, server, 20) == 0;
-    EXPECT_EQ(left, pause < 200 * ms);
+    const bool ejected = serveOthers(rig, server, 20) == 0;
+    EXPECT_EQ(ejected, pause < 200 * ms);
   }
 }
 
 TEST(Health, WhileAllServersStandStillNoCopyIsSentForATime) {
-  // Guards against copies for answers that are on their way, when the network or this machine has stood
-  // still.
-  for (const bool still : {true, false}) {
+  // Guards against hedges for answers that are only delayed, when the network or this machine has stalled.
+  for (const bool stalled : {true, false}) {
     Rig rig(plainSettings());
     rig.servers(fleet(6));
-    std::map<Micros, std::vector<std::size_t>> due;  // most take 20 ms, one in ten 100 ms
-    const auto step = [&](bool serve, bool ask, Micros takes) {
+    std::map<Micros, std::vector<std::size_t>> dueParts;  // most answers take 20 ms, one in ten 100 ms
+    const auto step = [&](bool serve, bool ask, Micros latency) {
       if (ask) {
         rig.query(1, 0, 4000 * ms, "w" + std::to_string(rig.queries));
-        due[rig.now + takes].push_back(rig.sends.size() - 1);
+        dueParts[rig.now + latency].push_back(rig.sends.size() - 1);
       }
       rig.pass(5 * ms);
-      for (; serve && !due.empty() && due.begin()->first <= rig.now; due.erase(due.begin()))
-        for (const std::size_t k : due.begin()->second) rig.finish(k);
+      for (; serve && !dueParts.empty() && dueParts.begin()->first <= rig.now;
+           dueParts.erase(dueParts.begin()))
+        for (const std::size_t k : dueParts.begin()->second) rig.finish(k);
     };
     for (int k = 0; k < 800; ++k) step(true, true, k % 10 == 0 && k < 770 ? 100 * ms : 20 * ms);
-    std::set<std::string> met;
-    for (int k = 0; met.size() < 6; ++k) {
+    std::set<std::string> usedServers;
+    for (int k = 0; usedServers.size() < 6; ++k) {
       rig.query(1, 0, 4000 * ms, "s" + std::to_string(k));
-      met.insert(rig.sends.back().server);
+      usedServers.insert(rig.sends.back().server);
     }
-    const std::size_t asked = rig.sends.size();
-    const auto copies = [&] {
+    const std::size_t firstPending = rig.sends.size();
+    const auto hedges = [&] {
       std::size_t n = 0;
-      for (std::size_t k = asked; k < rig.sends.size(); ++k) n += rig.attemptOf(rig.sends[k]) > 0;
+      for (std::size_t k = firstPending; k < rig.sends.size(); ++k) n += rig.attemptOf(rig.sends[k]) > 0;
       return n;
     };
-    for (int k = 0; k < 70; ++k) step(!still, !still, 10 * ms);
-    EXPECT_EQ(copies() == 0, still);
-    // The first answer ends the quiet; the others are on their way behind it, and meet no copies.
-    rig.finish(asked - 1);
-    EXPECT_EQ(copies() == 0, still);
-    rig.pass(700 * ms);  // a standstill counts for nothing up to a bound only
-    EXPECT_GT(copies(), 0u);
+    for (int k = 0; k < 70; ++k) step(!stalled, !stalled, 10 * ms);
+    EXPECT_EQ(hedges() == 0, stalled);
+    // The first answer ends the stall. The others follow it, so that their parts are not hedged.
+    rig.finish(firstPending - 1);
+    EXPECT_EQ(hedges() == 0, stalled);
+    rig.pass(700 * ms);  // stall time is deducted from the age of attempts only up to a bound
+    EXPECT_GT(hedges(), 0u);
   }
 }
 
 TEST(Ends, WithVeryManyOpenEachIsEndedAheadOfItsDeadline) {
-  // Guards against looks at all open queries that get so rare that the host has to end them.
+  // Guards against sweeps that become so rare with many open queries that these miss their deadline, and the
+  // host has to end them.
   Rig rig(plainSettings());
   rig.servers(fleet(6));
-  std::map<std::string, Micros> due;
-  std::size_t told = 0;
+  std::map<std::string, Micros> deadlines;
+  std::size_t checked = 0;
   for (int k = 0; k < 2600; ++k) {
-    if (k < 1600) due[rig.query(1, 0, 900 * ms, "k" + std::to_string(k))] = rig.now + 900 * ms;
+    if (k < 1600) deadlines[rig.query(1, 0, 900 * ms, "k" + std::to_string(k))] = rig.now + 900 * ms;
     rig.now += 1 * ms;
     std::vector<Event> events{ClientGone{"nobody"}};
     if (rig.timer >= 0 && rig.now >= rig.timer) events.push_back(TimerFired{}), rig.timer = -1;
     rig.step(events);
-    for (; told < rig.refusals.size(); ++told) {
-      ASSERT_GT(rig.now, due.at(rig.refusals[told].query) - 100 * ms);  // it was taken, not turned away
-      ASSERT_LT(rig.now, due.at(rig.refusals[told].query) - 6 * ms);
-      due.erase(rig.refusals[told].query);
+    for (; checked < rig.refusals.size(); ++checked) {
+      // The query was admitted, not refused on arrival.
+      ASSERT_GT(rig.now, deadlines.at(rig.refusals[checked].query) - 100 * ms);
+      ASSERT_LT(rig.now, deadlines.at(rig.refusals[checked].query) - 6 * ms);
+      deadlines.erase(rig.refusals[checked].query);
     }
   }
   EXPECT_EQ(rig.refusals.size(), 1600u);
 }
 
 TEST(Health, APartThatGetsLateAsAllStandsStillHasNoCopyUntilAnswersFlowAgain) {
-  // Guards against a copy that lies unread while all stands still, and is overtaken by the final answer.
+  // Guards against a hedge that is sent during a stall: it waits unread at the server, and the delayed answer
+  // of the first attempt arrives before it can help.
   Rig rig(plainSettings());
   rig.servers(fleet(6));
-  std::map<Micros, std::vector<std::size_t>> due;
-  const auto step = [&](bool flow, Micros takes) {
-    if (flow) {
+  std::map<Micros, std::vector<std::size_t>> dueParts;
+  const auto step = [&](bool answering, Micros latency) {
+    if (answering) {
       rig.query(1, 0, 4000 * ms, "w" + std::to_string(rig.queries));
-      due[rig.now + takes].push_back(rig.sends.size() - 1);
+      dueParts[rig.now + latency].push_back(rig.sends.size() - 1);
     }
     rig.pass(5 * ms);
-    for (; flow && !due.empty() && due.begin()->first <= rig.now; due.erase(due.begin()))
-      for (const std::size_t k : due.begin()->second) rig.finish(k);
+    for (; answering && !dueParts.empty() && dueParts.begin()->first <= rig.now;
+         dueParts.erase(dueParts.begin()))
+      for (const std::size_t k : dueParts.begin()->second) rig.finish(k);
   };
   for (int k = 0; k < 800; ++k) step(true, k % 10 == 0 && k < 770 ? 100 * ms : 20 * ms);
   rig.query(1, 0, 4000 * ms, "old");
   const std::string old = rig.sends.back().part;
-  const auto copies = [&] {
+  const auto hedges = [&] {
     return std::ranges::count_if(rig.sends, [&](const Send& s) { return s.part == old; }) - 1;
   };
-  for (int k = 0; k < 19; ++k) step(true, 20 * ms);  // 95 ms old, and late at 100
-  ASSERT_EQ(copies(), 0);
+  for (int k = 0; k < 19; ++k) step(true, 20 * ms);  // the part is 95 ms old, and late at 100 ms
+  ASSERT_EQ(hedges(), 0);
   for (int k = 0; k < 20; ++k) step(false, 0);
-  EXPECT_EQ(copies(), 0);
-  rig.finish(due.begin()->second.front());  // the first answer after it
-  EXPECT_EQ(copies(), 0);
-  for (int k = 0; k < 40 && copies() == 0; ++k) step(true, 20 * ms);
-  EXPECT_GT(copies(), 0);
+  EXPECT_EQ(hedges(), 0);
+  rig.finish(dueParts.begin()->second.front());  // the first answer after the stall
+  EXPECT_EQ(hedges(), 0);
+  for (int k = 0; k < 40 && hedges() == 0; ++k) step(true, 20 * ms);
+  EXPECT_GT(hedges(), 0);
 }
 
 TEST(Suspects, WhereServersOutliveTheirConnectionsTheFirstResetDoubtsNobody) {
-  // Guards against most servers in doubt at once where connections break under requests while the servers are
-  // well.
+  // Guards against ejecting most servers at once where connections break under requests although the servers
+  // are healthy.
   Rig rig(plainSettings());
   rig.servers(fleet(4));
   rig.warm(40, 50 * ms);
-  std::set<std::string> broken;
-  const auto breakOne = [&] {  // at a server that none was broken at before, while its connection is busy
+  std::set<std::string> resetServers;
+  const auto resetOne = [&] {  // resets a connection in use, at a server without a reset so far
     for (int k = 0;; ++k) {
       const std::string key = "key" + std::to_string(k);
       rig.query(1, 0, 4000 * ms, key);
       const std::string server = rig.sends.back().server;
       rig.finish(rig.sends.size() - 1);
-      if (broken.contains(server)) continue;
+      if (resetServers.contains(server)) continue;
       rig.query(1, 0, 4000 * ms, key);
       EXPECT_EQ(rig.sends.back().server, server);
       rig.finish(rig.sends.size() - 1, Outcome::reset);
-      rig.finish(rig.sends.size() - 1);  // sent again elsewhere, and served
-      broken.insert(server);
+      rig.finish(rig.sends.size() - 1);  // the retry at another server is served
+      resetServers.insert(server);
       return server;
     }
   };
-  for (int k = 0; k < 2; ++k) {  // two servers serve their trial soon after
-    const std::string server = breakOne();
+  for (int k = 0; k < 2; ++k) {  // two servers answer a probe soon after a reset
+    const std::string server = resetOne();
     EXPECT_EQ(serveOthers(rig, server, 20), 0u);
     rig.pass(600 * ms);
-    std::string asked;
-    for (int j = 0; j < 50 && asked != server; ++j) {
+    std::string target;
+    for (int j = 0; j < 50 && target != server; ++j) {
       rig.query(1, 0, 4000 * ms, "t" + std::to_string(rig.queries));
-      asked = rig.sends.back().server;
+      target = rig.sends.back().server;
       rig.finish(rig.sends.size() - 1);
     }
-    EXPECT_EQ(asked, server);
+    EXPECT_EQ(target, server);
   }
-  const std::string server = breakOne();
+  const std::string server = resetOne();
   EXPECT_GT(serveOthers(rig, server, 20), 0u);
 }
 
@@ -708,38 +718,43 @@
   rig.servers(fleet(4));
   rig.warm(40, 50 * ms);
   rig.pass(3000 * ms);
-  std::set<std::string> met;
-  while (met.size() < 2) {  // two servers stay silent after the pause
+  std::set<std::string> silentServers;
+  while (silentServers.size() < 2) {  // two servers do not respond after the pause
     rig.query(1, 0, 4000 * ms, "i" + std::to_string(rig.queries));
-    met.insert(rig.sends.back().server);
+    silentServers.insert(rig.sends.back().server);
   }
-  const std::size_t lost = rig.sends.size();
+  const std::size_t sendsBefore = rig.sends.size();
   EXPECT_TRUE(rig.closes.empty());
   rig.pass(10 * ms);
-  for (int k = 0; rig.sends.back().server == *met.begin() || rig.sends.back().server == *met.rbegin(); ++k)
+  for (int k = 0; rig.sends.back().server == *silentServers.begin() ||
+                  rig.sends.back().server == *silentServers.rbegin();
+       ++k)
     rig.query(1, 0, 4000 * ms, "other" + std::to_string(k));
-  rig.finish(rig.sends.size() - 1);  // another server is well
+  rig.finish(rig.sends.size() - 1);  // another server responds
   rig.pass(150 * ms);
-  EXPECT_GT(rig.sends.size(), lost + 1);
-  for (std::size_t k = lost; k < rig.sends.size(); ++k)
-    if (!met.contains(rig.sends[k].server)) rig.finish(k);
+  EXPECT_GT(rig.sends.size(), sendsBefore + 1);
+  for (std::size_t k = sendsBefore; k < rig.sends.size(); ++k)
+    if (!silentServers.contains(rig.sends[k].server)) rig.finish(k);
   rig.pass(3000 * ms);
-  const std::size_t closed = rig.closes.size();
+  const std::size_t closesBefore = rig.closes.size();
   rig.query(1, 0, 4000 * ms, "later");
-  EXPECT_EQ(rig.closes.size(), closed + 1);  // unused for as long as what failed
+  // Its connection has been idle for as long as those that failed.
+  EXPECT_EQ(rig.closes.size(), closesBefore + 1);
 
-  // Guards against closing what is open where new connections are dear: one that fails after long ends it.
+  // Guards against closing open connections where connecting is slow: once a connect has failed after a long
+  // time, idle connections are kept.
   rig.pass(250 * ms);
   rig.finish(rig.sends.size() - 1, Outcome::connectFailed);
   rig.pass(3000 * ms);
-  const std::size_t kept = rig.closes.size();
+  const std::size_t closesAfterSlowConnect = rig.closes.size();
   for (int k = 0; k < 6; ++k) rig.query(1, 0, 4000 * ms, "dear" + std::to_string(k));
-  for (std::size_t k = kept; k < rig.closes.size(); ++k) EXPECT_TRUE(met.contains(rig.closes[k].server));
+  for (std::size_t k = closesAfterSlowConnect; k < rig.closes.size(); ++k)
+    EXPECT_TRUE(silentServers.contains(rig.closes[k].server));
 }
 
 TEST(Suspects, AQueryThatResetsEachServerItMeetsGetsOneMoreAttemptAndIsGivenUp) {
-  // Guards against copies and retries that carry a killing query to every holder of its shards; should hold
-  // for hangs that end in resets too.
+  // Guards against hedges and retries that carry a poison query, one that crashes its servers, to every
+  // holder of its shards. A server that hangs until its connections are reset looks the same.
   Settings set = plainSettings();
   Rig rig(set);
   rig.servers(fleet(9));
@@ -748,7 +763,7 @@
   const std::string id = rig.query(4);
   ASSERT_EQ(rig.sends.size(), before + 4);
   for (std::size_t k = before; k < before + 4; ++k) rig.finish(k, Outcome::reset);
-  ASSERT_EQ(rig.sends.size(), before + 5);  // one part, alone
+  ASSERT_EQ(rig.sends.size(), before + 5);  // a single part
   rig.pass(40 * ms);
   EXPECT_EQ(rig.sends.size(), before + 5);
   rig.finish(before + 4, Outcome::reset);
@@ -764,7 +779,7 @@
   const std::size_t before = rig.sends.size();
   const std::string id = rig.query(4);
   for (std::size_t k = before; k < before + 3; ++k) rig.finish(k, Outcome::reset);
-  EXPECT_EQ(rig.sends.size(), before + 4);  // held until the fourth part tells
+  EXPECT_EQ(rig.sends.size(), before + 4);  // the next parts wait for the outcome of the fourth
   rig.finish(before + 3);
   ASSERT_EQ(rig.sends.size(), before + 7);
   for (std::size_t k = before + 4; k < before + 7; ++k) rig.finish(k);
@@ -773,8 +788,8 @@
 }
 
 TEST(Suspects, WhereResetsAreCommonARepeatedQueryBeginsWithOnePartAlone) {
-  // Guards against clients that carry a killing query to another instance; may cost innocent repeats a part's
-  // time.
+  // Guards against clients that carry a poison query to another instance. Harmless repeated queries are
+  // delayed by the time of one part.
   for (const bool common : {false, true})
     for (const bool repeated : {false, true}) {
       Rig rig(plainSettings());
@@ -794,13 +809,14 @@
 }
 
 TEST(Suspects, AMarkedLaterTryHasItsAimFromTheFirstAndAShortFirstTryHasItsOwn) {
-  // An impatient client comes with little time left: without a mark that is no later try.
+  // The aim of a repeated query counts from the first try. A query with little time left counts as repeated
+  // only if it is marked: its client may just be impatient.
   for (const bool repeated : {false, true}) {
-    Rig rig(plainSettings());  // worth 0.3 after the aim of 1 s
+    Rig rig(plainSettings());  // the worth falls to 0.3 after the aim of 1 s
     rig.servers(fleet(1));
     rig.warm(40, 450 * ms);
     rig.step({QueryArrived{"r", 900, 0, 0, 1, 2000 * ms, "k", repeated}, PartArrived{"r.0", 900, 0, 1.0}});
-    EXPECT_EQ(rig.refusals.size(), repeated ? 1u : 0u);  // 450 ms pass the limit of late ones only
+    EXPECT_EQ(rig.refusals.size(), repeated ? 1u : 0u);  // 450 ms exceed the limit of late queries only
   }
 }
 
@@ -835,23 +851,23 @@
   Rig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warm(60, 20 * ms);
-  std::string full;
-  int late = 0;
+  std::string busyServer;
+  int laterSends = 0;
   for (int k = 0; k < 60; ++k) {
     rig.query(1, 0, 4000 * ms, "b" + std::to_string(k));
     const std::size_t at = rig.sends.size() - 1;
-    if (full.empty()) full = rig.sends[at].server;
-    if (k >= 20) late += rig.sends[at].server == full;
-    if (rig.sends[at].server == full) rig.finish(at, Outcome::busy);
+    if (busyServer.empty()) busyServer = rig.sends[at].server;
+    if (k >= 20) laterSends += rig.sends[at].server == busyServer;
+    if (rig.sends[at].server == busyServer) rig.finish(at, Outcome::busy);
     rig.pass(20 * ms);
-    if (rig.sends.back().server != full) rig.finish(rig.sends.size() - 1);
+    if (rig.sends.back().server != busyServer) rig.finish(rig.sends.size() - 1);
   }
-  EXPECT_LE(late, 2);
+  EXPECT_LE(laterSends, 2);
 }
 
 TEST(Health, AFailedPartIsReplacedFromAnEmptyBucketButARefusedOneIsNot) {
-  // Guards against servers that fail part of their work at once: what failed would wait for tokens until its
-  // aim.
+  // Guards against servers that fail part of their work quickly: failed parts would wait for tokens until
+  // their aim.
   for (const Outcome outcome : {Outcome::error, Outcome::reset, Outcome::busy}) {
     Rig rig(plainSettings());
     rig.servers(fleet(3));
@@ -862,14 +878,14 @@
 }
 
 TEST(Health, AHomeThatAnswersSlowlyIsLeftAfterFewLatenciesAndAskedAgainWhenTheseAreOld) {
-  // Guards against homes that are slow for this front node alone, of which each gives it an answer every ten
-  // seconds; holds for slow machines, neighbours and links alike.
+  // Guards against home servers that are slow for this front node alone, and answer it only once in ten
+  // seconds, so that it has few latencies of each. The cause may be the machine, its neighbours or the link.
   Settings set = plainSettings();
   set.maySecondCopy = false;
   Rig rig(set);
   rig.servers(fleet(3));
   rig.warm(40, 50 * ms);
-  const std::string slow = talkTo(rig);
+  const std::string slow = serveOneQuery(rig);
   for (int k = 0; k < 4; ++k) {
     rig.query(1, 0, 4000 * ms, "quiet");
     const std::size_t at = rig.sends.size() - 1;
@@ -877,21 +893,22 @@
     rig.pass(450 * ms);
     rig.finish(at);
   }
-  int there = 0;
+  int sentToHome = 0;
   for (int k = 0; k < 10; ++k) {
     rig.query(1, 0, 4000 * ms, "quiet");
-    there += rig.sends.back().server == slow;
+    sentToHome += rig.sends.back().server == slow;
     rig.pass(50 * ms);
     rig.finish(rig.sends.size() - 1);
   }
-  EXPECT_LE(there, 1);
+  EXPECT_LE(sentToHome, 1);
   rig.pass(40000 * ms);
   rig.query(1, 0, 4000 * ms, "quiet");
   EXPECT_EQ(rig.sends.back().server, slow);
 }
 
 TEST(Admission, AClientWithLittleTimeIsNoSignOfPressure) {
-  // Guards against refusing hurried clients of a fleet that is well; what can't be in time is still refused.
+  // Guards against refusing clients with little time left although the fleet is healthy. Queries that cannot
+  // be answered in time are still refused.
   Rig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warm(40, 100 * ms);
@@ -903,13 +920,14 @@
 }
 
 TEST(Admission, AQueryThatCannotBeWholeForOneJammedShardIsRefusedAndAsksNoOther) {
-  // Guards against work for queries that miss one part: a jammed set of holders, a hot shard, a lost one.
+  // Guards against work for queries that will lack one part: its shard is hot, or its holders are overloaded
+  // or lost.
   Settings set = plainSettings();
   set.cells = 2;
   set.reach = 1;
   Rig rig(set);
   rig.servers({{"a", 0, 0, ServerState::serving, {}}, {"b", 0, 1, ServerState::serving, {}}});
-  for (int k = 0; k < 60; ++k) {  // shard 0 at a answers quickly, shard 1 at b does not
+  for (int k = 0; k < 60; ++k) {  // server a (shard 0) answers quickly, server b (shard 1) does not
     const std::size_t at = rig.sends.size();
     rig.query(k % 4 == 0 ? 2 : 1, 0, 4000 * ms, "j" + std::to_string(k));
     rig.pass(50 * ms);
@@ -925,7 +943,8 @@
 }
 
 TEST(Rules, WhatIsGivenUpIsAnsweredAtOnceWithTheLongestHintThatClientsHeed) {
-  // Guards against hopeless repeats; a hint never holds the answer back.
+  // Guards against repeats of queries that would be refused again. The hint does not delay the refusal
+  // itself.
   Settings set = plainSettings();
   set.classes[0].lateShare = 0.0;
   Rig rig(set);
@@ -937,8 +956,8 @@
 }
 
 TEST(Health, TheLastAttemptIsNotBurntAtOnceWhereEveryHolderFails) {
-  // Guards against all attempts of a part being spent within milliseconds on servers that fail part of their
-  // work, refuse, or flap.
+  // Guards against spending all attempts of a part within milliseconds on servers that fail part of their
+  // work, reject it, or flap.
   Rig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warm(30, 100 * ms);
@@ -952,13 +971,13 @@
   EXPECT_EQ(rig.sends.size(), before + 3);
 }
 
-// ---- Latency ----
+// ---- Latency: the hedge delay ----
 
 TEST(Latency, ACopyGoesAtTheLastMomentAtWhichItCanBeInTime) {
-  // Guards against a delay that is longer than what a hurried client has left.
+  // Guards against a hedge delay that exceeds the time that a client with a short deadline has left.
   Rig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(4, 400 * ms);  // the 95th percentile is far above the median
+  rig.warm(4, 400 * ms);  // raises the 95th percentile far above the median
   rig.warm(40, 50 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1, 0, 300 * ms, "hurried");
@@ -970,43 +989,44 @@
 }
 
 TEST(Suspects, ALateAnswerClearsTheConnectionThatLookedDead) {
-  // Guards against closing open connections on a slow way, where each new one pays several round trips.
+  // Guards against closing open connections on a slow route, where each new one costs several round trips.
   Rig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warm(40, 50 * ms);
   rig.pass(3000 * ms);
-  std::vector<std::size_t> lost;
-  std::set<std::string> met;
-  while (met.size() < 2) {
+  std::vector<std::size_t> unanswered;
+  std::set<std::string> silentServers;
+  while (silentServers.size() < 2) {
     rig.query(1, 0, 4000 * ms, "i" + std::to_string(rig.queries));
-    lost.push_back(rig.sends.size() - 1);
-    met.insert(rig.sends.back().server);
+    unanswered.push_back(rig.sends.size() - 1);
+    silentServers.insert(rig.sends.back().server);
   }
   rig.pass(10 * ms);
-  while (met.contains(rig.sends.back().server)) rig.query(1, 0, 4000 * ms, "o" + std::to_string(rig.queries));
+  while (silentServers.contains(rig.sends.back().server))
+    rig.query(1, 0, 4000 * ms, "o" + std::to_string(rig.queries));
   rig.finish(rig.sends.size() - 1);
   rig.pass(150 * ms);
-  for (const std::size_t k : lost) rig.finish(k);  // late, on the connections that were given up
-  for (std::size_t k = lost.back() + 1; k < rig.sends.size(); ++k) rig.finish(k);
-  for (int k = 0; k < 9; ++k) {  // each lost one was to be closed once
+  for (const std::size_t k : unanswered) rig.finish(k);  // late, on the connections that were presumed lost
+  for (std::size_t k = unanswered.back() + 1; k < rig.sends.size(); ++k) rig.finish(k);
+  for (int k = 0; k < 9; ++k) {  // each connection presumed lost would be closed once
     rig.query(1, 0, 4000 * ms, "c" + std::to_string(k));
     rig.finish(rig.sends.size() - 1);
   }
-  const std::size_t closed = rig.closes.size();
+  const std::size_t closesBefore = rig.closes.size();
   rig.pass(3000 * ms);
   for (int k = 0; k < 9; ++k) rig.query(1, 0, 4000 * ms, "d" + std::to_string(k));
-  EXPECT_EQ(rig.closes.size(), closed);
+  EXPECT_EQ(rig.closes.size(), closesBefore);
 }
 
 TEST(Latency, TheDelayFollowsASlownessOfAllAtOnce) {
-  // Guards against a storm of copies when every part is slower: after a few slow parts 300 ms is no longer
-  // late, though the long window still holds a thousand fast ones.
+  // Guards against a storm of hedges when all parts become slower: after a few slow parts, 300 ms is no
+  // longer late, although the long window still holds a thousand fast samples.
   Rig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warm(1000, 20 * ms);
   const std::size_t before = rig.sends.size();
   rig.warm(30, 300 * ms);
-  EXPECT_LE(rig.sends.size() - before, 30u + 8u);  // 14 without
+  EXPECT_LE(rig.sends.size() - before, 30u + 8u);  // 14 without the short window
 }
 
 // ---- Discovery ----
@@ -1018,7 +1038,7 @@
   rig.servers(fleet(2), ListKind::restored);
   EXPECT_EQ(rig.subscribes, 1);
   rig.step({ListArrived{ListKind::unavailable, {}}});
-  EXPECT_EQ(rig.subscribes, 1);  // not in the same breath
+  EXPECT_EQ(rig.subscribes, 1);  // not at once
   rig.pass(1000 * ms);
   EXPECT_EQ(rig.subscribes, 2);
   rig.servers(fleet(2));
@@ -1050,7 +1070,7 @@
   }
   ASSERT_TRUE(rig.refusals.empty());
   for (int k = 0; k < 3; ++k)
-    rig.query(1, 0, 4000 * ms, "o" + std::to_string(k), 0);  // two of these are over
+    rig.query(1, 0, 4000 * ms, "o" + std::to_string(k), 0);  // two of these exceed the share
   rig.query(1, 0, 4000 * ms, "within", 1);
   ASSERT_EQ(rig.refusals.size(), 2u);
   EXPECT_TRUE(rig.refusals[0].retryAfter.has_value());
@@ -1059,7 +1079,7 @@
 
 TEST(Admission, AQueryGivenUpGetsItsFinalAnswerAtOnce) {
   Settings set = plainSettings();
-  set.classes[0].lateShare = 0.0;  // worth nothing after the aim
+  set.classes[0].lateShare = 0.0;  // an answer after the aim is worth nothing
   Rig rig(set);
   rig.servers(fleet(2));
   rig.query(1);
@@ -1081,13 +1101,13 @@
 }
 
 TEST(Admission, NoCopyThatIsExpectedOnlyAfterTheAim) {
-  // Answers the objection that in a burst copies land on full servers.
+  // Guards against hedges that in a burst only add load to overloaded servers.
   Rig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warm(40, 500 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1);
-  rig.pass(990 * ms);  // late since 500 ms; a copy would take 500 ms more
+  rig.pass(990 * ms);  // late since 500 ms; a hedge would take 500 ms more
   EXPECT_EQ(rig.sends.size(), before + 1);
 }
 
@@ -1107,8 +1127,9 @@
   EXPECT_EQ(run(), run());
 }
 
-// Of a large fleet each instance sees little, and what the servers turn away is lost work: fewer queries are
-// let in while parts are refused, and all of them soon after. A small fleet's few refusals close nothing.
+// Rejected parts waste the work for the other parts of their query. An instance of a large fleet sees few of
+// them, but must admit fewer queries while servers reject parts, and all queries soon afterwards. An instance
+// of a small fleet must not react to the same few rejections.
 TEST(Admission, WhileServersTurnPartsAwayALargeFleetLetsInFewerQueriesAndAllOfThemAfterwards) {
   for (const int instances : {300, 1}) {
     Settings set = plainSettings();
@@ -1116,37 +1137,38 @@
     Rig rig(set);
     rig.servers(fleet(12));
     rig.warm(30, 20 * ms);
-    std::size_t ended = rig.sends.size();
-    // Refused as they come, with nothing asked for them: of queries of eight parts, and of one.
-    const auto play = [&](int queries, std::size_t refusedOneIn) {
-      std::pair<int, int> atOnce;
+    std::size_t nextToEnd = rig.sends.size();
+    // Returns how many queries of eight parts, and of one part, were refused on arrival.
+    const auto run = [&](int queries, std::size_t refusedOneIn) {
+      std::pair<int, int> refusedOnArrival;
       const auto refused = [&](int parts) {
         const std::size_t before = rig.refusals.size();
         const std::string id = rig.query(parts);
         return rig.refusals.size() > before && rig.refusals.back().query == id;
       };
       for (int k = 0; k < queries; ++k) {
-        atOnce.first += refused(8);
-        atOnce.second += refused(1);
+        refusedOnArrival.first += refused(8);
+        refusedOnArrival.second += refused(1);
         rig.pass(20 * ms);
-        for (; ended < rig.sends.size(); ++ended)
-          rig.finish(ended, refusedOneIn > 0 && ended % refusedOneIn == 0 ? Outcome::busy : Outcome::done);
+        for (; nextToEnd < rig.sends.size(); ++nextToEnd)
+          rig.finish(nextToEnd,
+                     refusedOneIn > 0 && nextToEnd % refusedOneIn == 0 ? Outcome::busy : Outcome::done);
         rig.pass(80 * ms);
       }
-      return atOnce;
+      return refusedOnArrival;
     };
-    EXPECT_EQ(play(20, 0), std::pair(0, 0));
-    const auto [large, small] = play(60, 4);
+    EXPECT_EQ(run(20, 0), std::pair(0, 0));
+    const auto [large, small] = run(60, 4);
     if (instances > 1)
       EXPECT_GE(large, 20);
     else
       EXPECT_EQ(large, 0);
-    EXPECT_LE(3 * small, 2 * large) << "what has one part is hardly lost by it";
+    EXPECT_LE(3 * small, 2 * large) << "queries of one part are preferred";
     for (int k = 0; k < 40; ++k) {
       rig.pass(100 * ms);
-      for (; ended < rig.sends.size(); ++ended) rig.finish(ended);
+      for (; nextToEnd < rig.sends.size(); ++nextToEnd) rig.finish(nextToEnd);
     }
-    EXPECT_EQ(play(20, 0), std::pair(0, 0)) << instances;
+    EXPECT_EQ(run(20, 0), std::pair(0, 0)) << instances;
   }
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the codec for the simulator's JSON protocol.
 #include "wire/codec.hpp"
 
 #include <gtest/gtest.h>
@@ -42,7 +43,7 @@
 }
 
 TEST(Codec, IdleConnectionsAreClosedOnTheWireBeforeTheNextSend) {
-  // A reset after a pause makes that connection suspect: the next send to its server goes on a new one.
+  // After a reset of a connection that had been idle, the next send to its server uses a new one.
   Host host;
   host.answer(kStart);
   host.answer(kQuery);
@@ -104,14 +105,14 @@
        "unknown mode 'odd'"},
       {R"({"moment":110,"items":[{"Incoming":{"i":0,"shard":-1,"groupNo":1}}]})", "'tid' is missing"},
   };
-  for (const auto& [line, complaint] : cases) {
+  for (const auto& [line, reason] : cases) {
     Host host;
     host.answer(kStart);
     try {
       host.answer(line);
       ADD_FAILURE() << "accepted: " << line;
-    } catch (const Malformed& problem) {
-      EXPECT_TRUE(contains(problem.what(), complaint)) << problem.what();
+    } catch (const Malformed& error) {
+      EXPECT_TRUE(contains(error.what(), reason)) << error.what();
     }
   }
 }
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,4 +1,4 @@
-// Runs the built program: what malformed input does to it, seen from outside.
+// Runs cometdeal_wirehost as a process, with well-formed and malformed input.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -8,15 +8,16 @@
 
 namespace {
 
-struct Ended {
+struct ProgramRun {
   std::string out;
-  int status = -1;
+  int status = -1;  // exit status; -1: not started, or ended by a signal
 };
-// Standard output of the program, or its standard error, when it is fed the lines.
-Ended feed(const std::string& lines, bool errors) {
+// Runs the program with the lines on its standard input. `out` is its standard error if `errors`, otherwise
+// its standard output.
+ProgramRun runProgram(const std::string& lines, bool errors) {
   const std::string command = "printf '%s' '" + lines + "' | " COMETDEAL_PROGRAM +
                               (errors ? std::string(" 2>&1 >/dev/null") : std::string(" 2>/dev/null"));
-  Ended run;
+  ProgramRun run;
   FILE* pipe = popen(command.c_str(), "r");
   if (!pipe) return run;
   char buffer[256];
@@ -26,12 +27,12 @@
   return run;
 }
 
-const std::string good = "{\"moment\":1.0,\"items\":[]}\n";
+const std::string kEmptyBatch = "{\"moment\":1.0,\"items\":[]}\n";
 
 class Malformed : public testing::TestWithParam<const char*> {};
 TEST_P(Malformed, EndsWithOneLineOnStandardErrorAndNothingHalfWritten) {
-  const std::string input = good + GetParam() + "\n" + good;
-  const Ended out = feed(input, false), errors = feed(input, true);
+  const std::string input = kEmptyBatch + GetParam() + "\n" + kEmptyBatch;
+  const ProgramRun out = runProgram(input, false), errors = runProgram(input, true);
   EXPECT_EQ(out.out, "{\"steps\":[]}\n");
   EXPECT_NE(out.status, 0);
   EXPECT_NE(out.status, -1);
@@ -44,7 +45,7 @@
                                          "{\"moment\":2.0,\"items\":[{\"Configure\":{\"i\":1}}]}"));
 
 TEST(Program, UnknownAndAbsentSettingsAreAccepted) {
-  const Ended run = feed(
+  const ProgramRun run = runProgram(
       "{\"moment\":1.0,\"items\":[{\"Configure\":{\"i\":1,\"randomSeed\":3,\"bootInfo\":{\"novel\":[1]}}}]}"
       "\n",
       false);
