--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -49,7 +49,7 @@
 constexpr Micros kAnswerMargin = 5 * kMs;
 constexpr double kWeightTolerance = 1e-6;  // for rounding errors in sums of weights
 
-// Outlier ejection of servers. A server is ejected when it has parts outstanding but sends no response for
+// Outlier ejection of servers. A server is ejected when it has parts outstanding but sends no answer for
 // kSilentHedgeDelays hedge delays, or when a connection to it fails or is reset. A part that it fails or
 // rejects counts as a latency of kFailureLatencyFactor times the median.
 constexpr double kSilentHedgeDelays = 2.0;
@@ -206,7 +206,7 @@
 struct Attempt {
   Server* server = nullptr;
   Micros sentAt = 0;
-  Micros stallTimeAtSend = 0;
+  Micros stallTimeAtSend = 0;  // Impl::stallTime when it was sent
   std::int64_t call = 0;
   int outstandingAtSend = 0;
   bool sentAsSuspect = false;  // its query was suspected poison when it was sent
@@ -246,9 +246,9 @@
   int step = 1;
   int resets = 0;
   // Poison query (query of death): one that crashes the servers it reaches.
-  bool suspectRepeat = false;   // repeated by its client while resets are common
-  bool provenHarmless = false;  // a server has served a part of it
-  bool isPoison = false;
+  bool suspectRepeat = false;     // repeated by its client while resets are common
+  bool provenHarmless = false;    // a server has served a part of it
+  bool isPoison = false;          // an attempt sent while it was suspected has ended in a reset too
   std::size_t stepFirstPart = 0;  // index of the current step's first part
   std::size_t stepPartCount = 0;
   Micros aimAt = 0;
@@ -465,6 +465,7 @@
     if (!t.ready() || !pooledLatency.ready()) return 1.0;
     return std::max(0.1, double(t.median) / double(std::max<Micros>(1, pooledLatency.median)));
   }
+  // Updates the rates at which warm servers complete parts for this instance.
   void updateThroughput() {
     totalWarmRate = 0.0;
     int warmServers = 0;
@@ -545,6 +546,7 @@
   }
   // The mean time between two answers of the fleet.
   double meanAnswerGap() const { return double(kSecond) / std::max(1.0, totalWarmRate); }
+  // Records that a server has responded. A response after a long gap ends a stall.
   void noteResponse() {
     if (double(now - fleetResponseAt) > std::max(kStallGaps * meanAnswerGap(), 2.0 * double(settings.tick)))
       answersSteadySince = now;
@@ -566,6 +568,7 @@
     const double delays = a.idleTime > maxIdleTime() ? 1.0 : kSilentHedgeDelays;
     return double(effectiveAge(a)) > delays * double(hedgeDelay(q.cls));
   }
+  // Takes an attempt off the outstanding parts and calls of its server.
   static void releaseOutstanding(const Attempt& a) {
     if (--a.server->outstandingParts == 0) a.server->oldestPartAge = 0.0;
     if (--a.server->outstandingCalls[a.call] <= 0) a.server->outstandingCalls.erase(a.call);
@@ -592,6 +595,7 @@
   bool suspectedPoison(const Query& q) const {
     return !q.provenHarmless && (q.resets > 0 || q.suspectRepeat);
   }
+  // Whether one more attempt of a query may be sent now.
   bool maySendNext(const Query& q) const {
     if (!suspectedPoison(q)) return true;
     for (const Part& p : q.parts)
@@ -888,27 +892,29 @@
       }
       const bool live = p.hasLiveAttempt();
       if (live && p.attempts.size() > 1) continue;
-      const Attempt& last = p.attempts.back();
-      const bool lastBusy = !live && last.busy;
-      const bool lastAttempt = settings.maxAttempts && int(p.attempts.size()) + 1 >= *settings.maxAttempts;
-      if ((lastAttempt || (lastBusy && admissionRatio < 1.0)) && !live &&
-          now - last.sentAt < hedgeDelay(q.cls) / 2)
+      const Attempt& latest = p.attempts.back();
+      const bool latestBusy = !live && latest.busy;
+      const bool isFinalAttempt = settings.maxAttempts && int(p.attempts.size()) + 1 >= *settings.maxAttempts;
+      // The final attempt, and retries of rejected parts under overload, follow the previous one after a
+      // pause.
+      if ((isFinalAttempt || (latestBusy && admissionRatio < 1.0)) && !live &&
+          now - latest.sentAt < hedgeDelay(q.cls) / 2)
         continue;
       const bool onUnhealthyServer =
-          live && (last.connLost || last.server->ejection.active || routeEjected(*last.server));
+          live && (latest.connLost || latest.server->ejection.active || routeEjected(*latest.server));
       if (live && !answersAreSteady()) continue;
       TokenBucket& bucket = hedgeBuckets[std::size_t(q.cls)];
       // Failed parts are retried without a token. Parts rejected as busy are retried without one only while
       // few servers are busy, and under overload only if the query is nearly complete: otherwise the work for
       // its other parts would be wasted.
-      const bool needsToken =
-          lastBusy ? manyServersBusy() || (admissionRatio < 1.0 && completedWeight(q) < kNearlyCompleteWeight)
-                   : live && !onUnhealthyServer;
+      const bool needsToken = latestBusy ? manyServersBusy() || (admissionRatio < 1.0 &&
+                                                                 completedWeight(q) < kNearlyCompleteWeight)
+                                         : live && !onUnhealthyServer;
       if (needsToken && !bucket.hasToken()) continue;
       Server* target = nextAttemptTarget(q, p);
       // An attempt that is expected too late, as in a burst when all replicas are full, only adds load.
       const Micros timeLimit = now < q.aimAt ? q.aimAt : q.deadlineAt;
-      if (target && (live || lastBusy) && now + predictLatency(*target, q.cls) > timeLimit) continue;
+      if (target && (live || latestBusy) && now + predictLatency(*target, q.cls) > timeLimit) continue;
       if (send(q, p, target)) {
         bucket.spend();
         p.backupSent = true;
