--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -322,8 +322,8 @@
   rig.query(4);
   rig.pass(300 * ms);
   ASSERT_GT(rig.sends.size(), before + 4);
-  const Send copy = rig.sends[before + 4];
-  for (int n = 0; n < 2; ++n) rig.step({AttemptEnded{copy.part, n, Outcome::done, copy.server, 0, {}}});
+  const Send hedge = rig.sends[before + 4];
+  for (int n = 0; n < 2; ++n) rig.step({AttemptEnded{hedge.part, n, Outcome::done, hedge.server, 0, {}}});
   rig.pass(600 * ms);
   EXPECT_EQ(rig.answers.size(), answers);
 }
