--- a/fuzz/fuzzer.cpp
+++ b/fuzz/fuzzer.cpp
@@ -1,4 +1,4 @@
-// The entry that libFuzzer calls. COMETDEAL_TARGET names the target.
+// The entry point that libFuzzer calls. COMETDEAL_TARGET is the name of the target function.
 #include "targets.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,4 +1,4 @@
-// Feeds files to a target: `replay TARGET FILE...`. What CI does with the corpus.
+// Feeds files to a fuzz target: `replay TARGET FILE...`. CTest runs it on the corpus.
 #include <cstdio>
 #include <fstream>
 #include <iterator>
@@ -6,16 +6,16 @@
 
 #include "targets.hpp"
 
-int main(int count, char** words) {
-  const auto target = count > 2 ? cometdeal::fuzz::target(words[1]) : nullptr;
+int main(int count, char** arguments) {
+  const auto target = count > 2 ? cometdeal::fuzz::target(arguments[1]) : nullptr;
   if (!target) {
     std::fprintf(stderr, "usage: replay http|frame|list|query|call|config FILE...\n");
     return 2;
   }
   for (int k = 2; k < count; ++k) {
-    std::ifstream file(words[k], std::ios::binary);
+    std::ifstream file(arguments[k], std::ios::binary);
     if (!file) {
-      std::fprintf(stderr, "cannot read '%s'\n", words[k]);
+      std::fprintf(stderr, "cannot read '%s'\n", arguments[k]);
       return 2;
     }
     const std::string bytes((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -19,46 +19,49 @@
 
 using namespace net;
 
-void must(bool good, const char* what) {
-  if (good) return;
-  std::fprintf(stderr, "broken: %s\n", what);
+// `violation`: the text to abort with if `holds` is false.
+void require(bool holds, const char* violation) {
+  if (holds) return;
+  std::fprintf(stderr, "invariant violated: %s\n", violation);
   std::abort();
 }
 
-// All messages of a stream, as text, then how it ended.
-std::vector<std::string> messages(HttpParser::Kind kind, std::string_view bytes, std::size_t piece) {
+// Feeds `bytes` in pieces of `pieceSize`. Returns the messages as text, and the error if there was one.
+std::vector<std::string> messages(HttpParser::Kind kind, std::string_view bytes, std::size_t pieceSize) {
   std::vector<std::string> out;
   HttpParser parser(kind);
   while (!bytes.empty()) {
-    std::string_view in = bytes.substr(0, piece);
+    std::string_view in = bytes.substr(0, pieceSize);
     bytes.remove_prefix(in.size());
     while (!in.empty()) {
       const std::size_t before = in.size();
       const HttpParser::State state = parser.feed(in);
-      must(in.size() <= before, "a parser gives back more than it got");
+      require(in.size() <= before, "the HTTP parser returns more bytes than it was given");
       if (state == HttpParser::State::bad) {
         out.push_back("bad " + std::to_string(parser.errorStatus()));
-        must(parser.errorStatus() >= 400 && parser.errorStatus() < 600, "an error without a status");
+        require(parser.errorStatus() >= 400 && parser.errorStatus() < 600,
+                "an HTTP error without an error status");
         return out;
       }
       if (state == HttpParser::State::more) {
-        must(in.empty(), "a parser wants more and leaves some");
+        require(in.empty(), "the HTTP parser needs more bytes but did not use all");
         break;
       }
       const HttpMessage m = parser.take();
-      must(m.body.size() <= 64UL * 1024, "a body over the bound");
+      require(m.body.size() <= 64UL * 1024, "an HTTP body over 64 KiB");
       out.push_back(m.method + " " + m.target + " " + std::to_string(m.status) + " " + m.body);
     }
   }
   return out;
 }
 
-std::vector<std::string> frames(std::string_view bytes, std::size_t piece) {
+// The same for frames.
+std::vector<std::string> frames(std::string_view bytes, std::size_t pieceSize) {
   std::vector<std::string> out;
   FrameReader reader;
   while (!bytes.empty()) {
-    reader.append(bytes.substr(0, piece));
-    bytes.remove_prefix(std::min(piece, bytes.size()));
+    reader.append(bytes.substr(0, pieceSize));
+    bytes.remove_prefix(std::min(pieceSize, bytes.size()));
     for (;;) {
       Frame f;
       const FrameReader::State state = reader.next(f);
@@ -69,11 +72,12 @@
       }
       out.push_back(f.letter + f.rest);
       if (const auto answer = readAnswer(f)) {
-        must(!answer->id.empty(), "an answer without an id");
-        must(answer->value.size() < f.rest.size(), "a value longer than its frame");
+        require(!answer->id.empty(), "an answer without an id");
+        require(answer->value.size() < f.rest.size(), "a value longer than its frame");
       }
     }
-    must(reader.held().size() <= 65UL * 1024 + 4, "more is held than a frame can have");
+    require(reader.held().size() <= 65UL * 1024 + 4,
+            "the frame reader buffers more than a frame's maximum size");
   }
   return out;
 }
@@ -82,14 +86,15 @@
 
 void http(std::string_view bytes) {
   for (const auto kind : {HttpParser::Kind::request, HttpParser::Kind::response}) {
-    const auto whole = messages(kind, bytes, bytes.size() + 1);
-    must(whole == messages(kind, bytes, 1) && whole == messages(kind, bytes, 7), "pieces make a difference");
+    const auto unsplit = messages(kind, bytes, bytes.size() + 1);
+    require(unsplit == messages(kind, bytes, 1) && unsplit == messages(kind, bytes, 7),
+            "the messages depend on how the bytes are split");
   }
 }
 
 void frame(std::string_view bytes) {
-  const auto whole = frames(bytes, bytes.size() + 1);
-  must(whole == frames(bytes, 3), "pieces make a difference");
+  const auto unsplit = frames(bytes, bytes.size() + 1);
+  require(unsplit == frames(bytes, 3), "the frames depend on how the bytes are split");
 }
 
 void list(std::string_view bytes) {
@@ -97,34 +102,35 @@
   if (!body.is_object()) return;
   try {
     for (const LeafEntry& entry : readList(body, {"a", "b"}).entries) {
-      must(!entry.name.empty(), "a leaf server without a name");
-      must(entry.state == ServerState::gone || entry.address.port != 0, "a leaf server without an address");
-      must(entry.zone >= 0 && entry.zone <= 2, "a zone out of range");
+      require(!entry.name.empty(), "a leaf server without a name");
+      require(entry.state == ServerState::gone || entry.address.port != 0,
+              "a leaf server without an address");
+      require(entry.zone >= 0 && entry.zone <= 2, "a zone out of range");
     }
-  } catch (const BadConfig&) {  // the one way to say no
+  } catch (const BadConfig&) {  // the only way to reject a list
   }
 }
 
-// A call at the second address: in pieces or at once, it has the same reply, and always one.
 void call(std::string_view bytes) {
-  const auto read = [&](std::size_t piece) -> std::optional<std::string> {
+  const auto read = [&](std::size_t pieceSize) -> std::optional<std::string> {
     CallReader reader;
-    for (std::string_view left = bytes; !left.empty(); left.remove_prefix(std::min(piece, left.size())))
-      if (const auto whole = reader.feed(left.substr(0, piece))) return whole;
-    must(reader.held().size() <= kCallMost + 1, "an unbounded call");
+    for (std::string_view left = bytes; !left.empty(); left.remove_prefix(std::min(pieceSize, left.size())))
+      if (const auto complete = reader.feed(left.substr(0, pieceSize))) return complete;
+    require(reader.partial().size() <= kMaxCallBytes + 1,
+            "the call reader buffers more than a call's maximum size");
     return std::nullopt;
   };
-  const auto whole = read(bytes.size());
-  must(read(1) == whole && read(7) == whole, "a call depends on its pieces");
-  if (!whole) return;
+  const auto unsplit = read(bytes.size());
+  require(read(1) == unsplit && read(7) == unsplit, "the call depends on how the bytes are split");
+  if (!unsplit) return;
   Counters counters;
-  const std::string reply = answerCall(*whole, {}, counters);
-  must(reply.ends_with('\n') && (reply[0] == '{' || reply.starts_with("-ERR ") || reply.starts_with("+OK ")),
-       "a reply out of form");
-  must(reply.size() < 1000, "a reply that echoes without bound");
+  const std::string reply = answerCall(*unsplit, {}, counters);
+  require(
+      reply.ends_with('\n') && (reply[0] == '{' || reply.starts_with("-ERR ") || reply.starts_with("+OK ")),
+      "a malformed reply");
+  require(reply.size() < 1000, "a reply of 1000 bytes or more");
 }
 
-// A configuration: an error or one that a mixer can serve by, as it starts and as it is read again.
 void config(std::string_view bytes) {
   const auto body = nlohmann::json::parse(bytes, nullptr, false);
   if (!body.is_object()) return;
@@ -134,12 +140,14 @@
   } catch (const BadConfig&) {
     return;
   }
-  must(!read.settings.classes.empty() && read.host.shards > 0, "nothing to serve");
-  must(read.host.classNames.size() == read.settings.classes.size(), "classes without a name");
+  require(!read.settings.classes.empty() && read.host.shards > 0,
+          "a configuration without classes or shards");
+  require(read.host.classNames.size() == read.settings.classes.size(), "a class without a name");
   for (const ClassSettings& cls : read.settings.classes)
-    must(cls.aim > 0 && cls.deadline > 0, "a deadline that is none");
-  must(!read.settings.maxAttempts || *read.settings.maxAttempts >= 1, "no attempt allowed");
-  // Changed to and fro with a query under way in each place: every class is found by its name.
+    require(cls.aim > 0 && cls.deadline > 0, "an aim or a deadline that is not positive");
+  require(!read.settings.maxAttempts || *read.settings.maxAttempts >= 1, "no attempt allowed");
+  // Apply alternating settings while class index 1 has open queries: every class is found by its name and has
+  // its new settings.
   Settings set = read.settings;
   HostSettings host = read.host;
   for (int k = 0; k < 3; ++k) {
@@ -148,11 +156,12 @@
     const Retune out = retune(
         set, host, next, read.host, [k](int) { return k == 1; }, 1000 + k);
     set = out.settings, host = out.host;
-    must(out.from.size() == set.classes.size() && host.classNames.size() == set.classes.size(),
-         "places differ");
+    require(out.from.size() == set.classes.size() && host.classNames.size() == set.classes.size(),
+            "the lists of classes differ in size");
     for (std::size_t c = 0; c < next.classes.size(); ++c) {
-      const int place = host.classOf(read.host.classNames[c], 1000 + k);
-      must(place >= 0 && set.classes[std::size_t(place)] == next.classes[c], "a class that is not as told");
+      const int index = host.classOf(read.host.classNames[c], 1000 + k);
+      require(index >= 0 && set.classes[std::size_t(index)] == next.classes[c],
+              "a class without its new settings");
     }
   }
 }
@@ -168,17 +177,18 @@
   m.headers = {{"x-request-id", "r"}, {"x-priority-class", "plain"}, {"x-timeout", "1.5"}};
   m.body = bytes;
   const ReadQuery read = readQuery(m, host, 0);
-  if (read.status != 0) return must(read.status >= 400 && read.status < 500, "an error that is no client's");
-  must(!read.query.parts.empty() && read.query.parts.size() <= 8, "parts out of range");
+  if (read.status != 0)
+    return require(read.status >= 400 && read.status < 500, "a status other than 4xx for a bad request");
+  require(!read.query.parts.empty() && read.query.parts.size() <= 8, "a query with no part or more than 8");
   std::set<int> seen;
   double sum = 0;
   for (const QueryPart& part : read.query.parts) {
-    must(part.shard >= 0 && part.shard < 8 && seen.insert(part.shard).second,
-         "a shard that is none, or twice");
-    must(part.weight > 0, "a weight that is none");
+    require(part.shard >= 0 && part.shard < 8 && seen.insert(part.shard).second,
+            "a shard out of range or listed twice");
+    require(part.weight > 0, "a weight that is not positive");
     sum += part.weight;
   }
-  must(sum > 0.98 && sum < 1.02, "weights that do not add up");
+  require(sum > 0.98 && sum < 1.02, "weights that do not add up to 1");
 }
 
 Target target(std::string_view name) {
--- a/fuzz/targets.hpp
+++ b/fuzz/targets.hpp
@@ -1,5 +1,5 @@
-// What the fuzzer feeds, one function for each parser. Each must take any bytes and hold its own promises;
-// what it finds broken ends the process.
+// The fuzz targets, one function for each parser. A target accepts any bytes, feeds them to its parser and
+// aborts the process if an invariant does not hold.
 #pragma once
 
 #include <cstddef>
@@ -8,15 +8,14 @@
 
 namespace cometdeal::fuzz {
 
-void http(std::string_view bytes);   // requests and responses: the same result in pieces of any size
-void frame(std::string_view bytes);  // frames and answers of leaf servers: bounded, the same in pieces
-void list(std::string_view bytes);   // discovery's lists: read whole or not at all
-void query(std::string_view bytes);
-void call(std::string_view bytes);    // operators' calls: one bounded reply, the same in pieces
-void config(std::string_view bytes);  // configurations, read and read again  // bodies of queries: an error
-                                      // or a query within its bounds
+void http(std::string_view bytes);    // requests and responses: the result does not depend on the split
+void frame(std::string_view bytes);   // frames and answers of leaf servers: as http, and bounded memory
+void list(std::string_view bytes);    // lists from discovery: every entry is valid, or the list is rejected
+void query(std::string_view bytes);   // bodies of queries: an error, or a query within its limits
+void call(std::string_view bytes);    // operators' calls: one bounded reply, whatever the split
+void config(std::string_view bytes);  // configurations, at the start and at reloads
 
 using Target = void (*)(std::string_view);
-Target target(std::string_view name);  // null: there is none of that name
+Target target(std::string_view name);  // null if there is no target of that name
 
 }  // namespace cometdeal::fuzz
--- a/src/admin/calls.cpp
+++ b/src/admin/calls.cpp
@@ -6,7 +6,7 @@
 namespace cometdeal::net {
 namespace {
 
-std::string writeFigures(const Figures& figures, const Counters& counters) {
+std::string varsJson(const ProcessStatus& status, const Counters& counters) {
   nlohmann::ordered_json out;
   for (const auto& [name, part] :
        {std::pair{"succeeded", &ClassCounts::succeeded}, std::pair{"declined", &ClassCounts::declined},
@@ -15,9 +15,9 @@
     for (const auto& [cls, counts] : counters.classes()) out[name][cls] = counts.*part;
   }
   out["forwards"] = counters.of(Count::forwards);
-  out["outstanding"] = figures.outstanding;
-  out["discovered"] = figures.discovered;
-  out["ejected"] = figures.ejected;
+  out["outstanding"] = status.outstanding;
+  out["discovered"] = status.discovered;
+  out["ejected"] = status.ejected;
   out["sighup_applied"] = counters.of(Count::reloads);
   out["sighup_rejected"] = counters.of(Count::reloadsFailed);
   return out.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
@@ -26,24 +26,26 @@
 }  // namespace
 
 std::optional<std::string> CallReader::feed(std::string_view bytes) {
-  constexpr std::size_t most = kCallMost + 2;  // a CR, and what makes it overlong
+  constexpr std::size_t maxSize = kMaxCallBytes + 2;  // with a CR, and a byte that shows it is overlong
   const std::size_t end = bytes.find('\n');
-  line_.append(bytes.substr(0, std::min(end, most - std::min(line_.size(), most))));
+  line_.append(bytes.substr(0, std::min(end, maxSize - std::min(line_.size(), maxSize))));
   const bool ends = end != std::string_view::npos;
-  if (!ends && line_.size() <= kCallMost + (line_.ends_with('\r') ? 1 : 0)) return std::nullopt;
+  if (!ends && line_.size() <= kMaxCallBytes + (line_.ends_with('\r') ? 1 : 0)) return std::nullopt;
   if (ends && line_.ends_with('\r')) line_.pop_back();
-  return line_.substr(0, kCallMost + 1);
+  return line_.substr(0, kMaxCallBytes + 1);
 }
 
-std::string answerCall(const std::string& call, const Figures& figures, const Counters& counters) {
-  if (call == "check") return figures.ready ? "+OK ready\n" : "-ERR not ready: " + figures.notReady + "\n";
-  if (call == "vars") return writeFigures(figures, counters) + "\n.\n";
-  const std::string known = ", expected check or vars\n";
-  if (call.empty()) return "-ERR empty call" + known;
-  if (call.size() > kCallMost) return "-ERR call over " + std::to_string(kCallMost) + " bytes" + known;
+std::string answerCall(const std::string& call, const ProcessStatus& status, const Counters& counters) {
+  if (call == "check")
+    return status.ready ? "+OK ready\n" : "-ERR not ready: " + status.notReadyReason + "\n";
+  if (call == "vars") return varsJson(status, counters) + "\n.\n";
+  const std::string expected = ", expected check or vars\n";
+  if (call.empty()) return "-ERR empty call" + expected;
+  if (call.size() > kMaxCallBytes)
+    return "-ERR call over " + std::to_string(kMaxCallBytes) + " bytes" + expected;
   if (!std::ranges::all_of(call, [](unsigned char c) { return c >= ' ' && c < 127; }))
-    return "-ERR call is not text" + known;
-  return "-ERR unknown call '" + call + "'" + known;
+    return "-ERR call is not text" + expected;
+  return "-ERR unknown call '" + call + "'" + expected;
 }
 
 }  // namespace cometdeal::net
--- a/src/admin/calls.hpp
+++ b/src/admin/calls.hpp
@@ -1,5 +1,4 @@
-// What operators ask of a mixer at its second address, and the words of the replies. One line a connection.
-// No I/O.
+// The protocol of the operators' address: one call per connection, a line of text, and its reply. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +10,30 @@
 
 namespace cometdeal::net {
 
-constexpr std::size_t kCallMost = 64;  // bytes of a call, its line end not counted
+constexpr std::size_t kMaxCallBytes = 64;  // without the line end
 
-// The state of the process, as told to operators.
-struct Figures {
+// The state of the process, as reported to operators.
+struct ProcessStatus {
   bool ready = false;
-  std::string notReady;  // why it is not
-  std::size_t outstanding = 0;
-  int discovered = 0, ejected = 0;
+  std::string notReadyReason;       // used if not ready
+  std::size_t outstanding = 0;      // open queries
+  int discovered = 0, ejected = 0;  // leaf servers
 };
 
-// Takes bytes until a call is whole: the line without its end, LF or CR LF. What follows it is dropped.
+// Collects bytes until a call is complete: a line that ends in LF or CR LF. Bytes after it are discarded.
 class CallReader {
  public:
-  // Empty: more is needed. Of an overlong line kCallMost + 1 bytes come.
+  // Returns the call without its line end, or nullopt if more bytes are needed. Of an overlong line it
+  // returns the first kMaxCallBytes + 1 bytes, which answerCall() rejects.
   std::optional<std::string> feed(std::string_view bytes);
-  std::string held() const { return line_; }
+  std::string partial() const { return line_; }  // the bytes of a call that is not complete yet
 
  private:
   std::string line_;
 };
 
-// The whole reply: a line that starts with +OK or -ERR, but for the figures. These come as they are, on one
-// line, and then a line with a dot.
-std::string answerCall(const std::string& call, const Figures& figures, const Counters& counters);
+// The complete reply. To `vars`: a line of JSON, then a line with a dot. Otherwise: one line that starts with
+// +OK or -ERR.
+std::string answerCall(const std::string& call, const ProcessStatus& status, const Counters& counters);
 
 }  // namespace cometdeal::net
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -10,12 +10,12 @@
 
 using boost::system::error_code;
 
-constexpr Micros kCallTime = 5'000'000;    // for a whole call, from connecting
-constexpr Micros kLingerTime = 1'000'000;  // for the caller to take the reply and close
-// At the bound the caller that has waited longest makes room, but for one that has only just come: callers
-// that connect by hundreds and say nothing would else push out a true one before its line is read.
-constexpr Micros kFreshTime = 20'000;
-constexpr Micros kAcceptPause = 5'000;
+constexpr Micros kCallTimeout = 5'000'000;    // for a complete call, from the connect
+constexpr Micros kLingerTimeout = 1'000'000;  // for the caller to read the reply and close
+// At the connection limit a new connection is not closed within this time: otherwise hundreds of callers that
+// connect and send nothing would displace a caller before its line is read.
+constexpr Micros kNewConnectionGrace = 20'000;
+constexpr Micros kAcceptRetryDelay = 5'000;
 
 }  // namespace
 
@@ -28,9 +28,9 @@
     if (c->closed) return;
     BOOST_ASIO_CORO_REENTER(this) {
       for (;;) {
-        BOOST_ASIO_CORO_YIELD c->socket.async_read_some(boost::asio::buffer(c->incoming), *this);
-        if (ec) return server->ended(*c);
-        server->received(*c, bytes);
+        BOOST_ASIO_CORO_YIELD c->socket.async_read_some(boost::asio::buffer(c->readBuffer), *this);
+        if (ec) return server->onReadEnd(*c);
+        server->onReceived(*c, bytes);
         if (c->closed) return;
       }
     }
@@ -44,24 +44,24 @@
   void operator()(error_code ec = {}) {
     BOOST_ASIO_CORO_REENTER(this) {
       for (;;) {
-        if (int(server->connections_.size()) >= server->connectionsMost_ && !server->makeRoom())
-          return server->acceptLater();
+        if (int(server->connections_.size()) >= server->maxConnections_ && !server->shedConnection())
+          return server->restartAcceptingLater();
         socket = std::make_shared<tcp::socket>(server->loop_.strand);
         BOOST_ASIO_CORO_YIELD server->acceptor_.async_accept(*socket, *this);
         if (ec == boost::asio::error::operation_aborted) return;
-        if (ec) {  // out of descriptors, as a rule: not a busy loop
+        if (ec) {  // usually out of descriptors; an immediate retry would be a busy loop
           logLine("admin: accept: %s", ec.message().c_str());
-          return server->acceptLater();
+          return server->restartAcceptingLater();
         }
-        server->accepted(std::move(*socket));
+        server->onAccepted(std::move(*socket));
       }
     }
   }
 };
 
-AdminServer::AdminServer(Loop& loop, int connectionsMost, Reply reply)
+AdminServer::AdminServer(Loop& loop, int maxConnections, Reply reply)
     : loop_(loop),
-      connectionsMost_(std::max(1, connectionsMost)),
+      maxConnections_(std::max(1, maxConnections)),
       reply_(std::move(reply)),
       acceptor_(loop.strand) {}
 
@@ -70,31 +70,34 @@
   Acceptor{this}();
 }
 
-void AdminServer::acceptLater() {
-  loop_.deadlines.add(loop_.now() + kAcceptPause, [this] { Acceptor{this}(); });
+void AdminServer::restartAcceptingLater() {
+  loop_.deadlines.add(loop_.now() + kAcceptRetryDelay, [this] { Acceptor{this}(); });
 }
 
-bool AdminServer::makeRoom() {
-  Connection* oldest = nullptr;
+// Closes a connection at the limit, preferably one that has its reply, then the oldest one. Returns false if
+// the grace period protects it.
+bool AdminServer::shedConnection() {
+  Connection* candidate = nullptr;
   for (const Handle h : connections_.all()) {
     Connection* c = connections_.get(h);
-    const bool sooner = !oldest || c->replied > oldest->replied ||
-                        (c->replied == oldest->replied && c->since < oldest->since);
-    if (sooner) oldest = c;
+    const bool preferred = !candidate || c->replied > candidate->replied ||
+                           (c->replied == candidate->replied && c->connectedAt < candidate->connectedAt);
+    if (preferred) candidate = c;
   }
-  if (!oldest || (!oldest->replied && loop_.now() - oldest->since < kFreshTime)) return false;
-  close(*oldest);
+  if (!candidate || (!candidate->replied && loop_.now() - candidate->connectedAt < kNewConnectionGrace))
+    return false;
+  close(*candidate);
   return true;
 }
 
-void AdminServer::accepted(tcp::socket socket) {
+void AdminServer::onAccepted(tcp::socket socket) {
   error_code ignored;
   socket.non_blocking(true, ignored);
   const Handle h = connections_.add(std::move(socket));
   Connection& c = *connections_.get(h);
   c.self = h;
-  c.since = loop_.now();
-  c.deadline = loop_.deadlines.add(c.since + kCallTime, [this, h] {
+  c.connectedAt = loop_.now();
+  c.deadline = loop_.deadlines.add(c.connectedAt + kCallTimeout, [this, h] {
     Connection* late = connections_.get(h);
     if (!late) return;
     late->deadline.reset();
@@ -103,27 +106,27 @@
   Reader(this, connections_.share(h))();
 }
 
-// What comes after the call is read and dropped: to close with something unread could cost the caller its
-// reply.
-void AdminServer::received(Connection& c, std::size_t bytes) {
+// Bytes after the call are read and discarded: a close with unread input would reset the connection, and the
+// caller could lose the reply.
+void AdminServer::onReceived(Connection& c, std::size_t bytes) {
   if (c.replied) return;
-  if (const auto call = c.call.feed({c.incoming.data(), bytes})) reply(c, reply_(*call));
+  if (const auto call = c.call.feed({c.readBuffer.data(), bytes})) reply(c, reply_(*call));
 }
 
-// A caller may end its line by ending its side.
-void AdminServer::ended(Connection& c) {
-  if (c.replied || c.call.held().empty()) return close(c);
-  const std::shared_ptr<Connection> keep = connections_.share(c.self);
-  reply(c, reply_(c.call.held()));
+// The end of the caller's side also ends its line.
+void AdminServer::onReadEnd(Connection& c) {
+  if (c.replied || c.call.partial().empty()) return close(c);
+  const std::shared_ptr<Connection> guard = connections_.share(c.self);
+  reply(c, reply_(c.call.partial()));
   close(c);
 }
 
 void AdminServer::reply(Connection& c, const std::string& text) {
-  const std::shared_ptr<Connection> keep = connections_.share(c.self);
+  const std::shared_ptr<Connection> guard = connections_.share(c.self);
   c.replied = true;
-  c.outgoing = text;
+  c.output = text;
   loop_.deadlines.drop(c.deadline);
-  c.deadline = loop_.deadlines.add(loop_.now() + kLingerTime, [this, h = c.self] {
+  c.deadline = loop_.deadlines.add(loop_.now() + kLingerTimeout, [this, h = c.self] {
     if (Connection* due = connections_.get(h)) close(*due);
   });
   flush(c);
@@ -131,9 +134,9 @@
 
 void AdminServer::flush(Connection& c) {
   std::size_t done = 0;
-  while (!c.closed && done < c.outgoing.size()) {
+  while (!c.closed && done < c.output.size()) {
     error_code ec;
-    done += c.socket.write_some(boost::asio::buffer(c.outgoing) + done, ec);
+    done += c.socket.write_some(boost::asio::buffer(c.output) + done, ec);
     if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) {
       c.socket.async_wait(tcp::socket::wait_write, [this, h = c.self](const error_code&) {
         const std::shared_ptr<Connection> again = connections_.share(h);
@@ -143,14 +146,14 @@
     }
     if (ec) return close(c);
   }
-  c.outgoing.erase(0, done);
+  c.output.erase(0, done);
   error_code ignored;
-  if (c.outgoing.empty()) c.socket.shutdown(tcp::socket::shutdown_send, ignored);
+  if (c.output.empty()) c.socket.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
 void AdminServer::close(Connection& c) {
   if (c.closed) return;
-  const std::shared_ptr<Connection> keep = connections_.share(c.self);
+  const std::shared_ptr<Connection> guard = connections_.share(c.self);
   c.closed = true;
   loop_.deadlines.drop(c.deadline);
   error_code ignored;
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -1,4 +1,4 @@
-// The operators' second address: accepts connections, reads one call from each, replies and closes.
+// The server at the operators' address: accepts connections, reads one call from each, replies and closes.
 #pragma once
 
 #include <array>
@@ -20,9 +20,9 @@
   using tcp = boost::asio::ip::tcp;
   using Reply = std::function<std::string(const std::string& call)>;
 
-  // Holds `connectionsMost` connections at most, 1 or more.
-  AdminServer(Loop& loop, int connectionsMost, Reply reply);
-  void listen(const Address& address);  // throws boost::system::system_error; port 0: any that is free
+  // `maxConnections`: values below 1 count as 1. `reply` returns the complete reply to a call.
+  AdminServer(Loop& loop, int maxConnections, Reply reply);
+  void listen(const Address& address);  // throws boost::system::system_error; port 0 selects a free port
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
   std::size_t connections() const { return connections_.size(); }
 
@@ -31,27 +31,27 @@
     explicit Connection(tcp::socket s) : socket(std::move(s)) {}
     tcp::socket socket;
     Handle self;
-    Micros since = 0;
+    Micros connectedAt = 0;
     bool replied = false, closed = false;
     CallReader call;
-    std::string outgoing;
-    std::array<char, 512> incoming;
+    std::string output;
+    std::array<char, 512> readBuffer;
     std::optional<Deadlines::Key> deadline;
   };
   struct Reader;
   struct Acceptor;
 
-  void accepted(tcp::socket socket);
-  void received(Connection& c, std::size_t bytes);
-  void ended(Connection& c);
+  void onAccepted(tcp::socket socket);
+  void onReceived(Connection& c, std::size_t bytes);
+  void onReadEnd(Connection& c);
   void reply(Connection& c, const std::string& text);
   void flush(Connection& c);
   void close(Connection& c);
-  bool makeRoom();
-  void acceptLater();
+  bool shedConnection();
+  void restartAcceptingLater();
 
   Loop& loop_;
-  int connectionsMost_;
+  int maxConnections_;
   Reply reply_;
   tcp::acceptor acceptor_;
   Slots<Connection> connections_;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -22,7 +22,7 @@
   if (at == object.end()) throw BadConfig(std::string("'") + name + "' is missing");
   return *at;
 }
-// A number beyond what T holds is malformed: to convert it is undefined.
+// Rejects a number outside the range of T, whose conversion would be undefined behaviour.
 template <typename T>
 T integer(const Json& value, const char* name) {
   const double number = value.get<double>();
@@ -30,12 +30,13 @@
     throw BadConfig(std::string("'") + name + "' is out of range");
   return value.get<T>();
 }
-std::vector<std::string> words(const Json& info, const char* name) {
+std::vector<std::string> strings(const Json& info, const char* name) {
   std::vector<std::string> out;
   for (const Json& one : info.value(name, Json::array())) out.push_back(one.get<std::string>());
   return out;
 }
-// Above 0, by a microsecond at least where it is a time, and small enough to count with.
+// If present: at least 0.001 (one microsecond where the number is a time in ms) and below 1e12, so that
+// arithmetic does not overflow.
 void checkPositive(const Json& object, const char* name, const std::string& where) {
   const auto at = object.find(name);
   if (at == object.end()) return;
@@ -43,7 +44,7 @@
   if (!(number >= 0.001 && number < 1e12))
     throw BadConfig("'" + where + "." + name + "' is " + at->dump() + ", expected a number above 0");
 }
-// Of the classes: deadlines that can be kept, and names that tell them apart.
+// Checks that times of classes and the number of attempts are positive, and that class names are unique.
 void checkSettings(const Json& info) {
   std::vector<std::string> names;
   for (const Json& one : need(info, "categories")) {
@@ -54,7 +55,8 @@
     names.push_back(need(one, "name").get<std::string>());
     if (names.back().empty()) throw BadConfig("'" + where + ".name' is empty, expected a name");
     if (std::ranges::count(names, names.back()) > 1)
-      throw BadConfig("'" + where + ".name' is '" + names.back() + "' for the second time");
+      throw BadConfig("'" + where + ".name' is '" + names.back() +
+                      "' a second time, expected unique class names");
   }
   const auto limits = info.find("limits");
   if (limits == info.end() || !limits->is_object()) return;
@@ -64,22 +66,24 @@
                     ", expected 1 or more");
 }
 
-// What one that is read again may lack: what the platform calls optional, and what is of no use twice.
-constexpr std::array kMayLack = {"known",      "admin",     "grpc",       "plans",
-                                 "aimStretch", "warmKeys",  "minExtra",   "furtherRatio",
-                                 "lookBack",   "askWithin", "deductions", "dedupWindow"};
+// Keys that may be absent in a reload although the running configuration has them: those that the platform
+// defines as optional, and those that are used only at the start.
+constexpr std::array kOptionalInReload = {"known",      "admin",     "grpc",       "plans",
+                                          "aimStretch", "warmKeys",  "minExtra",   "furtherRatio",
+                                          "lookBack",   "askWithin", "deductions", "dedupWindow"};
 
-const char* kindOf(const Json& value) { return value.is_number() ? "number" : value.type_name(); }
+const char* typeName(const Json& value) { return value.is_number() ? "number" : value.type_name(); }
 
+// Throws BadConfig if a key of `was` is absent in `next` or has another type there. `where`: the path so far.
 void checkNothingMissing(const Json& was, const Json& next, const std::string& where) {
-  if (!was.is_null() && !next.is_null() && std::string(kindOf(was)) != kindOf(next))
-    throw BadConfig("'" + where + "' is of type " + kindOf(next) + ", expected " + kindOf(was));
+  if (!was.is_null() && !next.is_null() && std::string(typeName(was)) != typeName(next))
+    throw BadConfig("'" + where + "' is of type " + typeName(next) + ", expected " + typeName(was));
   if (was.is_object() && next.is_object()) {
     for (const auto& [name, value] : was.items()) {
       std::string path = where;
       if (!path.empty()) path += '.';
       path += name;
-      if (std::ranges::count(kMayLack, name) > 0) continue;
+      if (std::ranges::count(kOptionalInReload, name) > 0) continue;
       if (!next.contains(name)) throw BadConfig("'" + path + "' is missing");
       checkNothingMissing(value, next[name], path);
     }
@@ -91,7 +95,7 @@
 
 HostSettings readHost(const Json& info) {
   HostSettings out;
-  out.zones = words(info, "zones");
+  out.zones = strings(info, "zones");
   for (const Json& one : need(info, "categories")) {
     out.classNames.push_back(need(one, "name").get<std::string>());
     out.classKeyed.push_back(one.value("effect", "safe") == "keyed");
@@ -117,7 +121,7 @@
   const char* end = text.data() + text.size();
   if (ec || colon == std::string::npos ||
       std::from_chars(text.data() + colon + 1, end, out.port).ptr != end || out.port == 0)
-    throw BadConfig("'" + text + "' is not an address and a port");
+    throw BadConfig("'" + text + "' is not an address and a port such as 127.0.0.1:9090");
   return out;
 }
 
@@ -130,7 +134,7 @@
   for (const Json& one : endpoints) {
     LeafEntry entry;
     entry.name = need(one, "name").get<std::string>();
-    if (entry.name.empty()) throw BadConfig("a leaf server has no name");
+    if (entry.name.empty()) throw BadConfig("a leaf server in 'endpoints' has an empty 'name'");
     const std::string status = need(one, "status").get<std::string>();
     if (status == "Ready")
       entry.state = ServerState::serving;
@@ -139,8 +143,8 @@
     else if (status == "Gone")
       entry.state = ServerState::gone;
     else
-      throw BadConfig("unknown status '" + status + "'");
-    // Of what is gone nothing else need be told.
+      throw BadConfig("unknown status '" + status + "', expected Ready, Terminating or Gone");
+    // Of a removed leaf server the other fields may be absent.
     if (entry.state != ServerState::gone || one.contains("address"))
       entry.address = readAddress(need(one, "address").get<std::string>());
     const auto zone = std::ranges::find(zones, one.value("zone", std::string()));
@@ -164,7 +168,7 @@
   const std::string seed = need(body, "seed").get<std::string>();
   const char* end = seed.data() + seed.size();
   if (seed.empty() || std::from_chars(seed.data(), end, out.seed, 16).ptr != end)
-    throw BadConfig("'seed' is not a number in hex");
+    throw BadConfig("'seed' is not a hexadecimal number of up to 64 bits");
   out.grpcFile = body.value("grpc", "");
   out.plansFile = body.value("plans", "");
   if (body.contains("limits")) out.sockets = body["limits"].value("sockets", out.sockets);
@@ -172,18 +176,20 @@
   if (!settings.is_object()) throw BadConfig("'settings' is not an object");
   checkSettings(settings);
   out.settings = wire::readSettings(settings);
-  if (out.settings.classes.empty()) throw BadConfig("'categories' names no class");
+  if (out.settings.classes.empty())
+    throw BadConfig("'settings.categories' is empty, expected one class or more");
   out.host = readHost(settings);
   for (const ClassSettings& cls : out.settings.classes) {
     out.host.classNeed.push_back(cls.need);
     out.host.classFloor.push_back(cls.floor);
   }
-  if (out.host.shards <= 0) throw BadConfig("'ranges' is not a number of shards");
-  // The list as last held only saves time: without a good one discovery is asked for the whole.
+  if (out.host.shards <= 0)
+    throw BadConfig("'settings.familyInfo.ranges' is out of range, expected 1 shard or more");
+  // The last known list only saves time: if it is malformed, the full list is requested from discovery.
   if (body.contains("known") && !body["known"].is_null()) try {
-      out.known = readList(body["known"], out.host.zones);
+      out.restoredList = readList(body["known"], out.host.zones);
     } catch (const BadConfig& problem) {
-      logLine("list as last held not used: %s", problem.what());
+      logLine("'known' is malformed and not used: %s", problem.what());
     }
   return out;
 } catch (const Json::exception& problem) {
@@ -194,7 +200,7 @@
 
 Config readReload(const std::string& path, const Config& running) {
   Config out = readConfigFile(path);
-  checkNothingMissing(*running.body, *out.body, "");
+  checkNothingMissing(*running.source, *out.source, "");
   return out;
 }
 
@@ -205,7 +211,7 @@
   const Json body = Json::parse(text, nullptr, false);
   if (!body.is_object()) throw BadConfig("'" + path + "' is not a JSON object");
   Config out = readConfig(body);
-  out.body = std::make_shared<const Json>(body);
+  out.source = std::make_shared<const Json>(body);
   return out;
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,5 +1,5 @@
-// What a mixer is told at its start: names, addresses, limits, settings, the list as last held. No I/O but
-// for readConfig's one file.
+// The mixer's configuration: names, addresses, limits, settings, the last known list of leaf servers. Does no
+// I/O except reading the configuration file.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -15,32 +15,35 @@
 
 namespace cometdeal::net {
 
+// The configuration, or a part of it, is malformed; the text names the place and what was expected.
 struct BadConfig : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-Address readAddress(const std::string& text);  // throws BadConfig
+// HOST:PORT with an IP address as the host and a port above 0. Throws BadConfig.
+Address readAddress(const std::string& text);
 
-// Throws BadConfig and changes nothing if any of it is malformed.
+// Reads a list of leaf servers as discovery sends it. A zone that is not in `zones` gets the index after the
+// last one. Throws BadConfig if any entry is malformed.
 LeafList readList(const nlohmann::json& body, const std::vector<std::string>& zones);
 
 struct Config {
   std::string name;
   Address listen, discovery;
-  std::optional<Address> admin;  // the operators' address; none: there is none
+  std::optional<Address> admin;  // the operators' address, if there is one
   std::uint64_t seed = 0;
-  int sockets = 1024;
+  int sockets = 1024;  // descriptors that the process may use
   Settings settings;
   HostSettings host;
-  std::optional<LeafList> known;
-  std::string grpcFile;                        // the gRPC side's own configuration; empty: there is none
-  std::string plansFile;                       // of queries in phases; empty: there is none
-  std::shared_ptr<const nlohmann::json> body;  // what it was read from
+  std::optional<LeafList> restoredList;          // the last known list of leaf servers; the key `known`
+  std::string grpcFile;                          // path of the gRPC configuration; empty: no gRPC
+  std::string plansFile;                         // path of the plans for queries in phases; empty: no plans
+  std::shared_ptr<const nlohmann::json> source;  // the file's content, if read from a file
 };
 Config readConfig(const nlohmann::json& body);   // throws BadConfig
 Config readConfigFile(const std::string& path);  // throws BadConfig
-// One that takes the place of `running`. A key that stands there and not here is missing, unless it may be
-// absent: a file that was cut short, or made for another version, is not half taken. Throws BadConfig.
+// Reads the configuration that is to replace `running`. Throws BadConfig also if a key of `running` is absent
+// that is not optional: a truncated file, or one for another version, must not be applied in part.
 Config readReload(const std::string& path, const Config& running);
 
 }  // namespace cometdeal::net
--- a/src/config/json.hpp
+++ b/src/config/json.hpp
@@ -1,5 +1,5 @@
-// Reads JSON strictly, as StrictYaml does YAML: what is unknown, missing or of a wrong type is an error that
-// tells the place in words, what stands there and what was expected.
+// A strict JSON reader, the counterpart of StrictYaml: an unknown or missing key or a wrong type is an error
+// that names the path, the value found and what was expected.
 #pragma once
 
 #include <initializer_list>
@@ -13,28 +13,32 @@
 
 namespace cometdeal::net {
 
+// One JSON value and its path from the root.
 class StrictJson {
  public:
-  StrictJson(std::string place, const nlohmann::json& node) : place_(std::move(place)), node_(&node) {}
+  // `node` must outlive this object.
+  StrictJson(std::string path, const nlohmann::json& node) : path_(std::move(path)), node_(&node) {}
 
-  // All throw BadConfig. Of an object: a key that is not asked for until done() is unknown.
+  // All methods throw BadConfig. The first three read an object: done() rejects each key that was not
+  // requested by find() or need() before.
   std::optional<StrictJson> find(const std::string& key);
   StrictJson need(const std::string& key);
   void done() const;
   std::vector<StrictJson> list() const;
   std::string string() const;
-  std::int64_t integer(std::int64_t least, std::int64_t most) const;
-  double number(double least, double most) const;
+  std::int64_t integer(std::int64_t minimum, std::int64_t maximum) const;
+  double number(double minimum, double maximum) const;
   bool boolean() const;
-  std::size_t choice(std::initializer_list<const char*> names) const;
+  std::size_t choice(std::initializer_list<const char*> names) const;  // the index of the value in `names`
+  // Throws an error about this value: `what` says what was expected, or what is wrong.
   [[noreturn]] void fail(const std::string& what) const;
 
  private:
-  std::string shown() const;
+  std::string excerpt() const;  // the value as JSON, truncated
 
-  std::string place_;
+  std::string path_;
   const nlohmann::json* node_;
-  std::set<std::string> asked_;
+  std::set<std::string> requested_;
 };
 
 }  // namespace cometdeal::net
--- a/src/config/plans.cpp
+++ b/src/config/plans.cpp
@@ -12,17 +12,17 @@
                 const std::vector<ClassSettings>& classes) {
   QueryPlans out;
   out.ofClass.resize(classNames.size());
-  if (auto may = root.find("queries_may_plan")) out.inQueries = may->boolean();
+  if (auto allowed = root.find("queries_may_plan")) out.inQueries = allowed->boolean();
   if (auto list = root.find("classes"))
     for (StrictYaml one : list->list()) {
-      const StrictYaml named = one.need("class");
-      const std::string name = named.string();
+      const StrictYaml classNode = one.need("class");
+      const std::string name = classNode.string();
       const auto at = std::ranges::find(classNames, name);
-      if (at == classNames.end()) named.fail("unknown class '" + name + "'");
+      if (at == classNames.end()) classNode.fail("unknown class '" + name + "'");
       const std::size_t cls = std::size_t(at - classNames.begin());
-      if (out.ofClass[cls]) named.fail("the class '" + name + "' stands twice");
+      if (out.ofClass[cls]) classNode.fail("the class '" + name + "' is listed twice");
       if (classes[cls].followUp > 0)
-        named.fail("the class '" + name + "' has a second step of its own in the settings");
+        classNode.fail("the class '" + name + "' has a second step of its own in the settings");
       out.ofClass[cls] = std::make_shared<const phases::Plan>(
           phases::readPlan(one.need("phases"), classes[cls].need, classes[cls].floor));
       one.done();
--- a/src/config/plans.hpp
+++ b/src/config/plans.hpp
@@ -1,4 +1,4 @@
-// The YAML file with the classes' plans in two phases (docs/two-phases.md has every key).
+// The YAML file with the plans of classes for queries in two phases (docs/two-phases.md describes every key).
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -9,7 +9,7 @@
 
 namespace cometdeal::net {
 
-// Throw BadConfig with file, line and column.
+// `name` stands for the file in errors. Both throw BadConfig with file, line and column.
 QueryPlans readPlans(const std::string& text, const std::string& name,
                      const std::vector<std::string>& classNames, const std::vector<ClassSettings>& classes);
 QueryPlans readPlansFile(const std::string& path, const std::vector<std::string>& classNames,
--- a/src/config/yaml.cpp
+++ b/src/config/yaml.cpp
@@ -9,13 +9,14 @@
 namespace cometdeal::net {
 namespace {
 
-constexpr std::size_t kShownMost = 40;  // of what stands there
+constexpr std::size_t kMaxShownBytes = 40;  // of a value in an error text
 
-std::string at(const std::string& name, const YAML::Mark& mark) {
+// FILE:LINE:COLUMN, or the file name alone if the position is unknown.
+std::string location(const std::string& name, const YAML::Mark& mark) {
   if (mark.is_null()) return name;
   return name + ":" + std::to_string(mark.line + 1) + ":" + std::to_string(mark.column + 1);
 }
-const char* kind(const YAML::Node& node) {
+const char* kindName(const YAML::Node& node) {
   if (node.IsMap()) return "a mapping";
   if (node.IsSequence()) return "a list";
   return node.IsNull() ? "nothing" : "a value";
@@ -23,15 +24,15 @@
 
 }  // namespace
 
-StrictYaml::StrictYaml(std::string name, std::string place, const YAML::Node& node)
-    : name_(std::move(name)), place_(std::move(place)), node_(node) {
+StrictYaml::StrictYaml(std::string name, std::string path, const YAML::Node& node)
+    : name_(std::move(name)), path_(std::move(path)), node_(node) {
   if (!node_.IsMap()) return;
   std::set<std::string> seen;
   for (const auto& entry : node_)
     if (!entry.first.IsScalar() || !seen.insert(entry.first.Scalar()).second)
-      throw BadConfig(at(name_, entry.first.Mark()) + ": " + (place_.empty() ? "" : place_ + ": ") +
+      throw BadConfig(location(name_, entry.first.Mark()) + ": " + (path_.empty() ? "" : path_ + ": ") +
                       "the key '" + (entry.first.IsScalar() ? entry.first.Scalar() : std::string("?")) +
-                      "' stands twice or is no word");
+                      "' stands twice or is not a scalar");
 }
 
 StrictYaml StrictYaml::text(const std::string& text, const std::string& name) {
@@ -40,7 +41,7 @@
     if (all.size() > 1) throw BadConfig(name + ": more than one document");
     return {name, "", all.empty() ? YAML::Node() : all.front()};
   } catch (const YAML::Exception& problem) {
-    throw BadConfig(at(name, problem.mark) + ": no YAML: " + problem.msg);
+    throw BadConfig(location(name, problem.mark) + ": no YAML: " + problem.msg);
   }
 }
 
@@ -50,22 +51,22 @@
   return text(std::string((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>()), path);
 }
 
-std::string StrictYaml::shown() const {
-  if (!node_.IsScalar()) return kind(node_);
+std::string StrictYaml::excerpt() const {
+  if (!node_.IsScalar()) return kindName(node_);
   const std::string& text = node_.Scalar();
-  return "'" + text.substr(0, kShownMost) + (text.size() > kShownMost ? "..." : "") + "'";
+  return "'" + text.substr(0, kMaxShownBytes) + (text.size() > kMaxShownBytes ? "..." : "") + "'";
 }
 
 void StrictYaml::fail(const std::string& what) const {
-  throw BadConfig(at(name_, node_.Mark()) + ": " + (place_.empty() ? "" : place_ + ": ") + what);
+  throw BadConfig(location(name_, node_.Mark()) + ": " + (path_.empty() ? "" : path_ + ": ") + what);
 }
 
 std::optional<StrictYaml> StrictYaml::find(const std::string& key) {
-  if (!node_.IsMap()) fail(std::string("expected a mapping, found ") + kind(node_));
-  asked_.insert(key);
+  if (!node_.IsMap()) fail(std::string("expected a mapping, found ") + kindName(node_));
+  requested_.insert(key);
   const YAML::Node found = node_[key];
   if (!found) return std::nullopt;
-  return StrictYaml(name_, place_.empty() ? key : place_ + "." + key, found);
+  return StrictYaml(name_, path_.empty() ? key : path_ + "." + key, found);
 }
 
 StrictYaml StrictYaml::need(const std::string& key) {
@@ -77,47 +78,47 @@
 void StrictYaml::done() const {
   std::optional<YAML::Node> unknown;
   for (const auto& entry : node_)
-    if (!unknown && !asked_.contains(entry.first.Scalar())) unknown = entry.first;
+    if (!unknown && !requested_.contains(entry.first.Scalar())) unknown = entry.first;
   if (!unknown) return;
   std::string known;
-  for (const std::string& one : asked_) known.append(known.empty() ? "" : ", ").append(one);
-  throw BadConfig(at(name_, unknown->Mark()) + ": " + (place_.empty() ? "" : place_ + ": ") +
+  for (const std::string& one : requested_) known.append(known.empty() ? "" : ", ").append(one);
+  throw BadConfig(location(name_, unknown->Mark()) + ": " + (path_.empty() ? "" : path_ + ": ") +
                   "unknown key '" + unknown->Scalar() + "'; known here: " + known);
 }
 
 std::vector<StrictYaml> StrictYaml::list() const {
-  if (!node_.IsSequence()) fail(std::string("expected a list, found ") + kind(node_));
+  if (!node_.IsSequence()) fail(std::string("expected a list, found ") + kindName(node_));
   std::vector<StrictYaml> out;
   for (std::size_t k = 0; k < node_.size(); ++k)
-    out.push_back(StrictYaml(name_, place_ + "[" + std::to_string(k) + "]", node_[k]));
+    out.push_back(StrictYaml(name_, path_ + "[" + std::to_string(k) + "]", node_[k]));
   return out;
 }
 
 std::string StrictYaml::string() const {
-  if (!node_.IsScalar() || node_.Scalar().empty()) fail("expected text, found " + shown());
+  if (!node_.IsScalar() || node_.Scalar().empty()) fail("expected text, found " + excerpt());
   return node_.Scalar();
 }
 
-std::int64_t StrictYaml::integer(std::int64_t least, std::int64_t most) const {
+std::int64_t StrictYaml::integer(std::int64_t minimum, std::int64_t maximum) const {
   std::int64_t value = 0;
   const std::string text = node_.IsScalar() ? node_.Scalar() : std::string();
   const char* end = text.data() + text.size();
   const auto [stop, ec] = std::from_chars(text.data(), end, value);
-  if (text.empty() || ec != std::errc() || stop != end || value < least || value > most)
-    fail("expected a whole number from " + std::to_string(least) + " to " + std::to_string(most) +
-         ", found " + shown());
+  if (text.empty() || ec != std::errc() || stop != end || value < minimum || value > maximum)
+    fail("expected a whole number from " + std::to_string(minimum) + " to " + std::to_string(maximum) +
+         ", found " + excerpt());
   return value;
 }
 
-double StrictYaml::number(double least, double most) const {
+double StrictYaml::number(double minimum, double maximum) const {
   double value = 0;
   const std::string text = node_.IsScalar() ? node_.Scalar() : std::string();
   const char* end = text.data() + text.size();
   const auto [stop, ec] = std::from_chars(text.data(), end, value, std::chars_format::fixed);
-  if (text.empty() || ec != std::errc() || stop != end || !(value >= least && value <= most)) {
+  if (text.empty() || ec != std::errc() || stop != end || !(value >= minimum && value <= maximum)) {
     char bounds[64];
-    std::snprintf(bounds, sizeof bounds, "%g to %g", least, most);
-    fail(std::string("expected a number from ") + bounds + ", found " + shown());
+    std::snprintf(bounds, sizeof bounds, "%g to %g", minimum, maximum);
+    fail(std::string("expected a number from ") + bounds + ", found " + excerpt());
   }
   return value;
 }
@@ -125,10 +126,10 @@
 bool StrictYaml::boolean() const {
   if (node_.IsScalar() && node_.Scalar() == "true") return true;
   if (node_.IsScalar() && node_.Scalar() == "false") return false;
-  fail("expected true or false, found " + shown());
+  fail("expected true or false, found " + excerpt());
 }
 
-Micros StrictYaml::duration(Micros least, Micros most) const {
+Micros StrictYaml::duration(Micros minimum, Micros maximum) const {
   const std::string text = node_.IsScalar() ? node_.Scalar() : std::string();
   double value = 0;
   const char* end = text.data() + text.size();
@@ -137,9 +138,9 @@
   const double factor = unit == "us" ? 1 : unit == "ms" ? 1e3 : unit == "s" ? 1e6 : unit == "m" ? 60e6 : 0;
   const double micros = value * factor;
   if (text.empty() || ec != std::errc() || factor == 0 ||
-      !(micros >= double(least) && micros <= double(most)))
-    fail("expected a time such as 250ms, 1.5s or 2m, from " + std::to_string(least / 1000) + "ms to " +
-         std::to_string(most / 1000) + "ms, found " + shown());
+      !(micros >= double(minimum) && micros <= double(maximum)))
+    fail("expected a time such as 250ms, 1.5s or 2m, from " + std::to_string(minimum / 1000) + "ms to " +
+         std::to_string(maximum / 1000) + "ms, found " + excerpt());
   return Micros(micros);
 }
 
@@ -147,19 +148,19 @@
   try {
     return readAddress(string());
   } catch (const BadConfig&) {
-    fail("expected an address and a port such as 127.0.0.1:9090, found " + shown());
+    fail("expected an address and a port such as 127.0.0.1:9090, found " + excerpt());
   }
 }
 
 std::size_t StrictYaml::choice(std::initializer_list<const char*> names) const {
   std::string all;
-  std::size_t place = 0;
+  std::size_t index = 0;
   for (const char* one : names) {
-    if (node_.IsScalar() && node_.Scalar() == one) return place;
-    ++place;
+    if (node_.IsScalar() && node_.Scalar() == one) return index;
+    ++index;
     all.append(all.empty() ? "" : ", ").append(one);
   }
-  fail("expected one of " + all + ", found " + shown());
+  fail("expected one of " + all + ", found " + excerpt());
 }
 
 }  // namespace cometdeal::net
--- a/src/config/yaml.hpp
+++ b/src/config/yaml.hpp
@@ -1,5 +1,5 @@
-// Reads YAML strictly: what is unknown, missing, doubled or of a wrong type is an error that tells file, line
-// and column, the place in words, what stands there and what was expected. On yaml-cpp.
+// A strict YAML reader on top of yaml-cpp: an unknown, missing or duplicate key or a wrong type is an error
+// that names file, line and column, the path, the value found and what was expected.
 #pragma once
 
 #include <yaml-cpp/yaml.h>
@@ -16,36 +16,36 @@
 
 namespace cometdeal::net {
 
+// One YAML node and its path from the root. All methods throw BadConfig.
 class StrictYaml {
  public:
-  // Throw BadConfig, as all below.
   static StrictYaml file(const std::string& path);
   static StrictYaml text(const std::string& text, const std::string& name);
 
-  // Of a mapping. A key that is not asked for until done() is unknown.
+  // These read a mapping: done() rejects each key that was not requested by find() or need() before.
   std::optional<StrictYaml> find(const std::string& key);
   StrictYaml need(const std::string& key);
   void done() const;
 
   std::vector<StrictYaml> list() const;
   std::string string() const;
-  std::int64_t integer(std::int64_t least, std::int64_t most) const;
-  double number(double least, double most) const;
+  std::int64_t integer(std::int64_t minimum, std::int64_t maximum) const;
+  double number(double minimum, double maximum) const;
   bool boolean() const;
-  Micros duration(Micros least, Micros most) const;  // "250ms", "1.5s", "2m"; never a bare number
+  Micros duration(Micros minimum, Micros maximum) const;  // "250ms", "1.5s", "2m"; never a bare number
   Address address() const;
-  std::size_t choice(std::initializer_list<const char*> names) const;  // its place among them
+  std::size_t choice(std::initializer_list<const char*> names) const;  // the index of the value in `names`
 
-  // An error about this place: what was expected, or what is wrong.
+  // Throws an error about this node: `what` says what was expected, or what is wrong.
   [[noreturn]] void fail(const std::string& what) const;
 
  private:
-  StrictYaml(std::string name, std::string place, const YAML::Node& node);
-  std::string shown() const;
+  StrictYaml(std::string name, std::string path, const YAML::Node& node);
+  std::string excerpt() const;  // the scalar's text, truncated, or the kind of node
 
-  std::string name_, place_;
+  std::string name_, path_;
   YAML::Node node_;
-  std::set<std::string> asked_;
+  std::set<std::string> requested_;
 };
 
 }  // namespace cometdeal::net
--- a/src/front/http/clients.cpp
+++ b/src/front/http/clients.cpp
@@ -23,37 +23,40 @@
 using boost::system::error_code;
 using Json = nlohmann::json;
 
-// A client counts its time from when it sent the request, and has its answer only when that has come back.
-constexpr Micros kWay = 3'000;
-constexpr Micros kRequestTime =
-    2'000'000;  // for a whole request, from its first byte; for the first, from connecting
-constexpr Micros kLingerTime = 500'000;     // for the client to take the last answer and close
-constexpr Micros kIdleTime = 60'000'000;    // between requests ...
-constexpr Micros kIdleCrowded = 2'500'000;  // ... where many are connected
-constexpr Micros kHalfTime = 300'000;       // at the bound, a request that has come no further makes room
-// So long a client that has just connected has to say something: at the bound new connections would otherwise
-// push each other out, each before its request can be read.
-constexpr Micros kFreshTime = 250'000;
-// So large a part of the places may be held between requests; beyond it who has been idle longest goes.
-// Clients that ask once and stay would else use up the connections that their side may hold, and new queries
-// wait there.
-constexpr int kIdlePart = 4;
-constexpr Micros kHandOverTime = 300'000;  // between requests, while another process takes over
-constexpr Micros kAcceptPause = 20'000;
-constexpr int kQueried = 3;                          // the last rank to make room
-constexpr std::size_t kBufferedMost = 128UL * 1024;  // beyond it a client that pipelines is not read
-constexpr std::size_t kOutgoingMost = 64UL * 1024;   // beyond it a client's next request waits
-constexpr double kTimeoutMost = 3600.0;              // seconds
-
-constexpr double kWeightsOff = 0.01;  // sums of weights are rounded
-constexpr double kHintMost = 1e12;    // microseconds
-
-bool isWord(const std::string& text, std::size_t most) {
-  return !text.empty() && text.size() <= most && std::ranges::all_of(text, [](unsigned char c) {
+// Deducted from a client's timeout, which runs from when the client sends the request until the answer has
+// arrived there.
+constexpr Micros kNetworkAllowance = 3'000;
+// For a complete request: from its first byte, or from the connect for the first request of a connection.
+constexpr Micros kRequestTimeout = 2'000'000;
+constexpr Micros kLingerTimeout = 500'000;         // for the client to read the last response and close
+constexpr Micros kIdleTimeout = 60'000'000;        // between requests
+constexpr Micros kCrowdedIdleTimeout = 2'500'000;  // between requests while isCrowded()
+// At the connection limit, a partial request that is older than this no longer protects its connection.
+constexpr Micros kPartialRequestGrace = 300'000;
+// At the connection limit, a new connection is not shed within this time: otherwise new connections would
+// displace each other, each before its request can be read.
+constexpr Micros kNewConnectionGrace = 250'000;
+// At most 1/kIdleConnectionsDivisor of the connections may be idle after a query; beyond that the one that
+// has been idle longest is closed. Clients that query once and stay connected would otherwise use up the
+// connections that the client side may hold, and new queries would wait there.
+constexpr int kIdleConnectionsDivisor = 4;
+constexpr Micros kHandOverIdleTime = 300'000;  // idle time after which handOver() closes a connection
+constexpr Micros kAcceptRetryDelay = 20'000;
+constexpr int kQueriedRank = 3;                       // in shedConnection(): the rank that is shed last
+constexpr std::size_t kMaxInputBytes = 128UL * 1024;  // with more unprocessed input, reading pauses
+constexpr std::size_t kMaxOutputBytes = 64UL * 1024;  // with more unsent output, the next request waits
+constexpr double kMaxTimeoutSeconds = 3600.0;
+
+constexpr double kWeightSumTolerance = 0.01;  // clients round the weights
+constexpr double kMaxHintMicros = 1e12;
+
+// One or more visible ASCII characters without ',' and '='.
+bool isToken(const std::string& text, std::size_t maxSize) {
+  return !text.empty() && text.size() <= maxSize && std::ranges::all_of(text, [](unsigned char c) {
     return c > ' ' && c < 127 && c != ',' && c != '=';
   });
 }
-std::optional<double> decimal(const std::string& text) {
+std::optional<double> parseDecimal(const std::string& text) {
   double value = 0;
   const char* end = text.data() + text.size();
   const auto [at, ec] = std::from_chars(text.data(), end, value, std::chars_format::fixed);
@@ -65,18 +68,18 @@
   const auto& text = tag.get_ref<const std::string&>();
   return text.size() == 16 && std::ranges::all_of(text, [](unsigned char c) { return std::isxdigit(c); });
 }
-ReadQuery bad(std::string why, int status = 400) {
+ReadQuery rejection(std::string error, int status = 400) {
   ReadQuery out;
   out.status = status;
-  out.why = std::move(why);
+  out.error = std::move(error);
   return out;
 }
 
-// What an answer in phases rests on. Pruned, cut and missing are told apart: left out by the plan, for lack
-// of time, and against all intention.
-Json writeAccount(const phases::Account& account) {
-  static constexpr const char* hows[] = {"whole", "early", "late", "stuck"};
-  static constexpr const char* seconds[] = {"none", "whole", "cut", "skipped", "failed"};
+// Reports how each phase of a query went. Three kinds of parts without an answer are distinguished: pruned
+// (left out by the plan), cut (left out for lack of time) and missing (asked for but not received).
+Json accountJson(const phases::Account& account) {
+  static constexpr const char* endNames[] = {"whole", "early", "late", "stuck"};
+  static constexpr const char* secondPhaseNames[] = {"none", "whole", "cut", "skipped", "failed"};
   const auto share = [](double weight) { return std::round(weight * 1e6) / 1e6; };
   Json out = Json::array();
   for (const phases::PhaseAccount& p : account.phases) {
@@ -85,9 +88,9 @@
              {"missing", p.asked - p.in},
              {"weight_asked", share(p.weightAsked)},
              {"weight_in", share(p.weightIn)},
-             {"ended", hows[std::size_t(p.how)]}};
+             {"ended", endNames[std::size_t(p.how)]}};
     if (!out.empty()) {
-      one["ran"] = seconds[std::size_t(account.second)];
+      one["ran"] = secondPhaseNames[std::size_t(account.second)];
       one["pruned"] = p.pruned, one["weight_pruned"] = share(p.weightPruned);
       one["nothing"] = p.nothing, one["weight_nothing"] = share(p.weightNothing);
       one["cut"] = p.cut, one["weight_cut"] = share(p.weightCut);
@@ -103,63 +106,65 @@
 ReadQuery readQuery(const HttpMessage& request, const HostSettings& host, Micros receivedAt) {
   const std::string path = request.target.substr(0, request.target.find('?'));
   const std::size_t slash = path.rfind('/');
-  if (path != "/api" && !path.starts_with("/api/")) return bad("unknown path", 404);
-  if (request.method != "POST") return bad("a query is a POST", 405);
-  // Of two such headers another reader might heed the other one.
+  if (path != "/api" && !path.starts_with("/api/")) return rejection("unknown path", 404);
+  if (request.method != "POST") return rejection("a query is a POST", 405);
+  // Other software on the path might use the other one of two such headers.
   for (const char* name : {"x-request-id", "x-priority-class", "x-timeout", "idempotency-key"})
     if (std::ranges::count(request.headers, name, [](const auto& h) { return h.first; }) > 1)
-      return bad("a header stands twice");
+      return rejection("a header stands twice");
   ReadQuery out;
   NewQuery& q = out.query;
   const std::string* id = request.header("x-request-id");
-  if (!id || !isWord(*id, 128)) return bad("X-Request-ID is missing or no word");
+  if (!id || !isToken(*id, 128)) return rejection("X-Request-ID is missing or no word");
   q.id = *id;
   const std::string* name = request.header("x-priority-class");
   q.cls = name ? host.classOf(*name, receivedAt) : -1;
-  if (q.cls < 0) return bad("unknown class");
+  if (q.cls < 0) return rejection("unknown class");
   const std::string* timeout = request.header("x-timeout");
-  const std::optional<double> seconds = timeout ? decimal(*timeout) : std::nullopt;
-  if (!seconds || *seconds <= 0 || *seconds > kTimeoutMost) return bad("X-Timeout is missing or no time");
-  q.until = receivedAt + Micros(*seconds * 1e6) - kWay;
+  const std::optional<double> seconds = timeout ? parseDecimal(*timeout) : std::nullopt;
+  if (!seconds || *seconds <= 0 || *seconds > kMaxTimeoutSeconds)
+    return rejection("X-Timeout is missing or no time");
+  q.until = receivedAt + Micros(*seconds * 1e6) - kNetworkAllowance;
   if (slash > 0 && slash + 1 < path.size()) q.key = path.substr(slash + 1);
   if (const std::string* key = request.header("idempotency-key")) {
-    if (!isWord(*key, 256)) return bad("Idempotency-Key is no word");
+    if (!isToken(*key, 256)) return rejection("Idempotency-Key is no word");
     q.idempotencyKey = *key;
   } else if (host.classKeyed[std::size_t(q.cls)] &&
              (host.keyFrom.empty() || receivedAt >= host.keyFrom[std::size_t(q.cls)])) {
-    return bad("Idempotency-Key is missing");
+    return rejection("Idempotency-Key is missing");
   }
   const std::string* retried = request.header("x-retried");
   q.repeated = retried && *retried == "1";
 
   const Json body = Json::parse(request.body, nullptr, false);
-  if (!body.is_object()) return bad("the body is not a JSON object");
+  if (!body.is_object()) return rejection("the body is not a JSON object");
   const auto text = body.find("expr"), parts = body.find("parts");
-  if (text == body.end() || !text->is_string()) return bad("expr is missing or not text");
-  if (parts == body.end() || !parts->is_array() || parts->empty()) return bad("parts are missing");
+  if (text == body.end() || !text->is_string()) return rejection("expr is missing or not text");
+  if (parts == body.end() || !parts->is_array() || parts->empty()) return rejection("parts are missing");
   q.text = text->get<std::string>();
   std::set<int> seen;
   double sum = 0;
   for (const Json& one : *parts) {
-    if (!one.is_object()) return bad("a part is not an object");
+    if (!one.is_object()) return rejection("a part is not an object");
     const auto shard = one.find("id"), weight = one.find("w");
-    if (shard == one.end() || !shard->is_number_integer()) return bad("a part has no shard");
-    if (weight == one.end() || !weight->is_number()) return bad("a part has no weight");
-    const double number = shard->get<double>(), w = weight->get<double>();
-    if (!(number >= 0 && number < host.shards)) return bad("no such shard");
-    if (!(w > 0 && w <= 1.001)) return bad("a part's weight is no share");
-    if (!seen.insert(int(number)).second) return bad("a part is named twice");
+    if (shard == one.end() || !shard->is_number_integer()) return rejection("a part has no shard");
+    if (weight == one.end() || !weight->is_number()) return rejection("a part has no weight");
+    const double shardNumber = shard->get<double>(), w = weight->get<double>();
+    if (!(shardNumber >= 0 && shardNumber < host.shards)) return rejection("no such shard");
+    if (!(w > 0 && w <= 1.001)) return rejection("a part's weight is no share");
+    if (!seen.insert(int(shardNumber)).second) return rejection("a part is named twice");
     if (const auto hint = one.find("hint"); hint != one.end()) {
-      if (!hint->is_number() || !(hint->get<double>() >= 0 && hint->get<double>() <= kHintMost))
-        return bad("a part's hint is no time");
+      if (!hint->is_number() || !(hint->get<double>() >= 0 && hint->get<double>() <= kMaxHintMicros))
+        return rejection("a part's hint is no time");
     }
     if (const auto tag = one.find("tag"); tag != one.end() && !isTag(*tag))
-      return bad("a part's tag is not 16 hex digits");
+      return rejection("a part's tag is not 16 hex digits");
     sum += w;
-    q.parts.push_back({int(number), w});
+    q.parts.push_back({int(shardNumber), w});
   }
-  if (std::abs(sum - 1.0) > kWeightsOff) return bad("the weights do not add up to 1");
-  // Each comes rounded by itself: 35 parts lack 15 millionths of a whole, and would never make one.
+  if (std::abs(sum - 1.0) > kWeightSumTolerance) return rejection("the weights do not add up to 1");
+  // Each weight is rounded by itself: those of 35 parts add up to 1 less 15 millionths, and the answer would
+  // never count as complete. So they are scaled to add up to 1.
   for (QueryPart& part : q.parts) part.weight /= sum;
   if (!host.plans.ofClass.empty()) q.plan = host.plans.ofClass[std::size_t(q.cls)];
   if (const auto plan = body.find("phases"); plan != body.end() && host.plans.inQueries) try {
@@ -167,7 +172,7 @@
                                                                      host.classNeed[std::size_t(q.cls)],
                                                                      host.classFloor[std::size_t(q.cls)]));
     } catch (const BadConfig& problem) {
-      return bad(problem.what());
+      return rejection(problem.what());
     }
   return out;
 }
@@ -186,7 +191,7 @@
   Json rows = Json::array();
   for (const Row& row : answer.rows) rows.push_back({{"id", row.shard}, {"data", row.value}});
   Json body = {{"exact", answer.whole}, {"rows", std::move(rows)}};
-  if (answer.account) body["phases"] = writeAccount(*answer.account);
+  if (answer.account) body["phases"] = accountJson(*answer.account);
   return writeResponse(200, "", body.dump(-1, ' ', false, Json::error_handler_t::replace), close);
 }
 
@@ -198,13 +203,13 @@
     if (c->closed) return;
     BOOST_ASIO_CORO_REENTER(this) {
       c->reading = true;
-      while (c->buffered.size() < kBufferedMost) {
-        BOOST_ASIO_CORO_YIELD c->socket.async_read_some(boost::asio::buffer(c->incoming), *this);
+      while (c->input.size() < kMaxInputBytes) {
+        BOOST_ASIO_CORO_YIELD c->socket.async_read_some(boost::asio::buffer(c->readBuffer), *this);
         if (ec) return clients->close(*c);
-        clients->received(*c, bytes);
+        clients->onReceived(*c, bytes);
         if (c->closed) return;
       }
-      c->reading = false;  // begun again when the buffer has room
+      c->reading = false;  // restarted when the input buffer has free space
     }
   }
 };
@@ -214,38 +219,41 @@
   std::shared_ptr<tcp::socket> socket;
   explicit Acceptor(Clients* owner) : clients(owner) {}
   void operator()(error_code ec = {}) {
-    // Accepted before the listener was let go, and told only now: closed unread, its request would be lost.
+    // The accept completed before the listener was closed, but its completion runs only now. If the
+    // connection were closed unread, its request would be lost.
     if (!clients->acceptor_.is_open() && !ec && socket && socket->is_open())
-      return clients->accepted(std::move(*socket));
+      return clients->onAccepted(std::move(*socket));
     if (!clients->acceptor_.is_open()) return;
     BOOST_ASIO_CORO_REENTER(this) {
       for (;;) {
-        // Of a shared listener nothing is taken that the other process could serve and this one can't yet.
-        if (clients->shared_ && !clients->mixer_.ready()) {
-          clients->accepting_ = false;
-          clients->acceptLater();
+        // From a shared listener no connection is accepted until this process is ready: the other process can
+        // serve it.
+        if (clients->sharedListener_ && !clients->mixer_.ready()) {
+          clients->acceptPending_ = false;
+          clients->restartAcceptingLater();
           return;
         }
-        // At the limit an idle connection makes room; without one, new clients wait in the backlog.
-        if (int(clients->connections_.size()) >= clients->connectionsMost_ && !clients->shedIdle()) {
-          clients->accepting_ = false;
-          clients->acceptLater();
+        // At the connection limit one is shed; if none may be, new clients wait in the backlog.
+        if (int(clients->connections_.size()) >= clients->maxConnections_ && !clients->shedConnection()) {
+          clients->acceptPending_ = false;
+          clients->restartAcceptingLater();
           return;
         }
-        clients->accepting_ = true;
+        clients->acceptPending_ = true;
         socket = std::make_shared<tcp::socket>(clients->loop_.strand);
         BOOST_ASIO_CORO_YIELD clients->acceptor_.async_accept(*socket, *this);
         if (ec == boost::asio::error::operation_aborted) return;
         if (!ec) {
-          clients->accepted(std::move(*socket));
+          clients->onAccepted(std::move(*socket));
           continue;
         }
-        // Out of descriptors, as a rule: the waiting client must not make this a busy loop.
+        // Usually the process is out of descriptors. The client still waits in the backlog, so an immediate
+        // retry would be a busy loop.
         clients->counters_.add(Count::acceptFailures);
         logLine("accept: %s", ec.message().c_str());
-        clients->shedIdle();
+        clients->shedConnection();
         BOOST_ASIO_CORO_YIELD {
-          clients->loop_.deadlines.add(clients->loop_.now() + kAcceptPause,
+          clients->loop_.deadlines.add(clients->loop_.now() + kAcceptRetryDelay,
                                        [self = *this]() mutable { self(error_code()); });
         }
       }
@@ -253,11 +261,11 @@
   }
 };
 
-Clients::Clients(Loop& loop, Counters& counters, Mixer& mixer, int connectionsMost)
+Clients::Clients(Loop& loop, Counters& counters, Mixer& mixer, int maxConnections)
     : loop_(loop),
       counters_(counters),
       mixer_(mixer),
-      connectionsMost_(connectionsMost),
+      maxConnections_(maxConnections),
       acceptor_(loop.strand) {}
 
 void Clients::listen(const Address& address) {
@@ -265,109 +273,114 @@
   Acceptor{this}();
 }
 
-void Clients::adopt(int descriptor, const Address& address) {
-  const std::string what = "descriptor " + std::to_string(descriptor) + " ";
-  const std::string wanted = ", expected a TCP socket that listens on " + asText(address);
+void Clients::adoptListener(int descriptor, const Address& address) {
+  const std::string subject = "descriptor " + std::to_string(descriptor) + " ";
+  const std::string expected = ", expected a TCP socket that listens on " + asText(address);
   const auto option = [descriptor](int name) {
     int value = 0;
     socklen_t size = sizeof value;
     return getsockopt(descriptor, SOL_SOCKET, name, &value, &size) == 0 ? value : -1;
   };
   const int domain = option(SO_DOMAIN);
-  if (domain < 0) throw BadConfig(what + "is no socket" + wanted);
+  if (domain < 0) throw BadConfig(subject + "is no socket" + expected);
   if ((domain != AF_INET && domain != AF_INET6) || option(SO_TYPE) != SOCK_STREAM)
-    throw BadConfig(what + "is another kind of socket" + wanted);
-  if (option(SO_ACCEPTCONN) != 1) throw BadConfig(what + "does not listen" + wanted);
+    throw BadConfig(subject + "is another kind of socket" + expected);
+  if (option(SO_ACCEPTCONN) != 1) throw BadConfig(subject + "does not listen" + expected);
   const tcp::endpoint at(boost::asio::ip::make_address(address.host), address.port);
   tcp::endpoint bound;
   socklen_t size = socklen_t(bound.capacity());
-  if (getsockname(descriptor, bound.data(), &size) != 0) throw BadConfig(what + "has no address" + wanted);
+  if (getsockname(descriptor, bound.data(), &size) != 0)
+    throw BadConfig(subject + "has no address" + expected);
   bound.resize(size);
   if (bound != at)
-    throw BadConfig(what + "listens on " + bound.address().to_string() + ":" + std::to_string(bound.port()) +
-                    wanted);
+    throw BadConfig(subject + "listens on " + bound.address().to_string() + ":" +
+                    std::to_string(bound.port()) + expected);
   fcntl(descriptor, F_SETFD, FD_CLOEXEC);
-  shared_ = true;
+  sharedListener_ = true;
   acceptor_.assign(at.protocol(), descriptor);
-  acceptor_.non_blocking(true);  // shared with whoever holds the socket: each of them has to expect that
+  acceptor_.non_blocking(true);  // the flag is shared with the other processes that hold the socket
   Acceptor{this}();
 }
 
-void Clients::drain(Micros endBy) {
+void Clients::drain(Micros answerBy) {
   draining_ = true;
-  endBy_ = endBy;
-  // The system keeps a closed socket in the epoll set while another process holds it. Asio takes one that
-  // was assigned out of the set first; to shut it down would end it for the other process.
+  answerBy_ = answerBy;
+  // The kernel keeps a closed socket in the epoll set while another process holds it; for an assigned socket
+  // Asio removes it from the set before the close. A shutdown would stop the listener of the other process
+  // too.
   error_code ignored;
-  if (shared_) acceptor_.close(ignored);
+  if (sharedListener_) acceptor_.close(ignored);
 }
 
-// A request that crosses the close is sent again elsewhere by its client.
-void Clients::turnAway() {
-  turningAway_ = true;
+// A request that is under way when its connection is closed is retried by the client on another mixer.
+void Clients::stopKeepAlive() {
+  keepAliveStopped_ = true;
   for (const Handle h : connections_.all())
-    if (Connection* c = connections_.get(h); c && idle(*c)) close(*c);
+    if (Connection* c = connections_.get(h); c && isIdle(*c)) close(*c);
 }
 
-// A close hardly crosses the request of who has been silent for long. Who asks often is told with the next
-// answer; who has not asked yet is about to, and the deadline of the first request ends it otherwise.
+// A connection that has been silent for a while is unlikely to have a request under way when it is closed. A
+// connection in frequent use is closed with its next response. One without a request yet will probably send
+// one soon; otherwise its deadline for the first request closes it.
 void Clients::handOver() {
-  turningAway_ = true;
+  keepAliveStopped_ = true;
   for (const Handle h : connections_.all())
     if (Connection* c = connections_.get(h);
-        c && c->asked && loop_.now() - c->usedAt >= kHandOverTime && idle(*c))
+        c && c->hasRequested && loop_.now() - c->lastUsedAt >= kHandOverIdleTime && isIdle(*c))
       close(*c);
 }
 
-// Taken is what the machine has accepted, whether or not the program has: the backlog is emptied first.
+// A connection in the backlog is established from the client's view, so the backlog is emptied before the
+// listener is closed.
 void Clients::finish() {
   error_code ec;
   while (acceptor_.is_open()) {
     tcp::socket socket(loop_.strand);
     acceptor_.accept(socket, ec);
     if (ec) break;
-    accepted(std::move(socket));
+    onAccepted(std::move(socket));
   }
   acceptor_.close(ec);
 }
 
-bool Clients::idle(const Connection& c) const {
-  if (c.waiting || c.writing || !c.buffered.empty() || c.parser.begun()) return false;
+bool Clients::isIdle(const Connection& c) const {
+  if (c.awaitingAnswer || c.writing || !c.input.empty() || c.parser.begun()) return false;
   error_code ec;
   return c.socket.available(ec) == 0;
 }
 
 bool Clients::busy() const {
-  return std::ranges::any_of(connections_.all(), [this](Handle h) { return !idle(*connections_.get(h)); });
+  return std::ranges::any_of(connections_.all(), [this](Handle h) { return !isIdle(*connections_.get(h)); });
 }
 
-// At the bound somebody makes room: first who has had its last answer, then who has connected and asked for
-// nothing, or for no more than /up, then a request that does not get on, and only then a client that has had
-// a query before: silent connections, probes that stay and half requests must not push those out.
-bool Clients::shedIdle() {
+// Closes one connection at the limit and returns whether it found one. Ranks, in the order of shedding:
+// 0: the last response has been queued; 1: no request yet, or none but /up; 2: a partial request that has
+// exceeded its grace period; 3 (kQueriedRank): has sent a query before. So silent connections, lingering
+// health checks and partial requests do not displace clients with queries.
+bool Clients::shedConnection() {
   std::vector<std::pair<std::pair<int, Micros>, Handle>> order;
-  int fresh = 0;
+  int newConnections = 0;
   for (const Handle h : connections_.all()) {
     const Connection& c = *connections_.get(h);
-    if (c.waiting) continue;
-    const bool begun = !c.buffered.empty() || c.parser.begun();
-    if (c.ending)
-      order.push_back({{0, c.usedAt}, h});
-    else if (c.writing || (begun && loop_.now() - c.receivedAt < kHalfTime))
+    if (c.awaitingAnswer) continue;
+    const bool begun = !c.input.empty() || c.parser.begun();
+    if (c.closing)
+      order.push_back({{0, c.lastUsedAt}, h});
+    else if (c.writing || (begun && loop_.now() - c.requestStartedAt < kPartialRequestGrace))
       continue;
-    else if (!begun && !c.asked && loop_.now() - c.usedAt < kFreshTime)
-      ++fresh;
+    else if (!begun && !c.hasRequested && loop_.now() - c.lastUsedAt < kNewConnectionGrace)
+      ++newConnections;
     else
-      order.push_back({{c.queried ? kQueried : begun ? 2 : 1, c.usedAt}, h});
+      order.push_back({{c.hasQueried ? kQueriedRank : begun ? 2 : 1, c.lastUsedAt}, h});
   }
   std::ranges::sort(order, {}, [](const auto& e) { return e.first; });
   for (const auto& [rank, h] : order) {
     Connection& c = *connections_.get(h);
-    // A crowd that has just connected is waited for: those that say nothing are pushed out before who has
-    // had a query.
-    if (rank.first == kQueried && fresh > std::max(2, connectionsMost_ / 8)) break;
+    // While many connections are new, wait for their grace period to end: those that send nothing are then
+    // shed before a client that has sent a query.
+    if (rank.first == kQueriedRank && newConnections > std::max(2, maxConnections_ / 8)) break;
     error_code ec;
-    if (rank.first != 0 && c.socket.available(ec) > 0) continue;  // something has come just now
+    if (rank.first != 0 && c.socket.available(ec) > 0) continue;  // unread input has arrived
     counters_.add(Count::clientConnectionsShed);
     close(c);
     return true;
@@ -375,22 +388,23 @@
   return false;
 }
 
-void Clients::trimIdle() {
-  int number = 0;
+void Clients::trimIdleConnections() {
+  int idleCount = 0;
   Connection* oldest = nullptr;
   for (const Handle h : connections_.all()) {
     Connection* c = connections_.get(h);
-    if (!c->queried || c->waiting || c->ending || c->writing || !c->buffered.empty() || c->parser.begun())
+    if (!c->hasQueried || c->awaitingAnswer || c->closing || c->writing || !c->input.empty() ||
+        c->parser.begun())
       continue;
-    ++number;
-    if (!oldest || c->usedAt < oldest->usedAt) oldest = c;
+    ++idleCount;
+    if (!oldest || c->lastUsedAt < oldest->lastUsedAt) oldest = c;
   }
-  if (number <= connectionsMost_ / kIdlePart || !idle(*oldest)) return;
+  if (idleCount <= maxConnections_ / kIdleConnectionsDivisor || !isIdle(*oldest)) return;
   counters_.add(Count::clientConnectionsShed);
   close(*oldest);
 }
 
-void Clients::accepted(tcp::socket socket) {
+void Clients::onAccepted(tcp::socket socket) {
   counters_.add(Count::clientConnections);
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
@@ -398,146 +412,148 @@
   const Handle h = connections_.add(std::move(socket));
   Connection& c = *connections_.get(h);
   c.self = h;
-  c.usedAt = c.receivedAt = loop_.now();
-  c.dueAt = loop_.now() + kRequestTime;
-  watch(c);
-  read(c);
+  c.lastUsedAt = c.requestStartedAt = loop_.now();
+  c.requestDueAt = loop_.now() + kRequestTimeout;
+  armDeadline(c);
+  startReading(c);
 }
 
-void Clients::read(Connection& c) {
+void Clients::startReading(Connection& c) {
   if (!c.reading && !c.closed) Reader(this, connections_.share(c.self))();
 }
 
-// One deadline a connection: for the first request or one that has begun, for the close after the last
-// answer, or between requests. The first is set once, at the connect or the first byte: a client that
-// trickles must not move it.
-void Clients::watch(Connection& c) {
+// Each connection has one deadline: for the current or first request to be complete, for the client's close
+// after the last response, or for the idle time between requests. The deadline of a request is fixed at the
+// connect or at its first byte: a client that sends a byte now and then must not extend it.
+void Clients::armDeadline(Connection& c) {
   loop_.deadlines.drop(c.deadline);
-  if (c.closed || c.waiting) return;
-  const bool begun = c.parser.begun() || !c.buffered.empty();
-  const Micros at = c.ending            ? loop_.now() + kLingerTime
-                    : begun || !c.asked ? c.dueAt
-                                        : loop_.now() + (crowded() ? kIdleCrowded : kIdleTime);
+  if (c.closed || c.awaitingAnswer) return;
+  const bool begun = c.parser.begun() || !c.input.empty();
+  const Micros at = c.closing ? loop_.now() + kLingerTimeout
+                    : begun || !c.hasRequested
+                        ? c.requestDueAt
+                        : loop_.now() + (isCrowded() ? kCrowdedIdleTimeout : kIdleTimeout);
   c.deadline = loop_.deadlines.add(at, [this, h = c.self] {
-    if (Connection* due = connections_.get(h)) late(*due);
+    if (Connection* due = connections_.get(h)) onDeadline(*due);
   });
 }
 
-void Clients::late(Connection& c) {
-  const std::shared_ptr<Connection> keep = connections_.share(c.self);
+void Clients::onDeadline(Connection& c) {
+  const std::shared_ptr<Connection> guard = connections_.share(c.self);
   c.deadline.reset();
-  if (c.ending || c.writing) return close(c);  // it has not read its last answer, or not the one before
-  // What came with the deadline is read first: a request that is whole is never closed upon.
+  if (c.closing || c.writing) return close(c);  // the client does not read its responses, or does not close
+  // Input that has arrived but not been read yet may be a complete request, which must not be dropped.
   error_code ec;
-  if (c.socket.available(ec) > 0 && !c.parser.begun() && c.buffered.empty()) {
-    c.dueAt = loop_.now() + kRequestTime;
-    return watch(c);
+  if (c.socket.available(ec) > 0 && !c.parser.begun() && c.input.empty()) {
+    c.requestDueAt = loop_.now() + kRequestTimeout;
+    return armDeadline(c);
   }
-  if (!c.parser.begun() && c.buffered.empty()) return close(c);
+  if (!c.parser.begun() && c.input.empty()) return close(c);
   counters_.add(Count::badRequests);
-  c.keep = false;
+  c.keepAlive = false;
   respond(c, writeResponse(408, "", "", true));
 }
 
-void Clients::received(Connection& c, std::size_t bytes) {
-  if (c.ending) return;  // what still comes after the last answer is read and dropped, so that it is no reset
-  const bool first = !c.parser.begun() && c.buffered.empty();
-  if (first) c.receivedAt = loop_.now();
-  if (first && c.asked) c.dueAt = loop_.now() + kRequestTime;
-  c.buffered.append(c.incoming.data(), bytes);
-  process(c);
-  if (!c.closed && !c.waiting && first) watch(c);
+void Clients::onReceived(Connection& c, std::size_t bytes) {
+  if (c.closing)
+    return;  // after the last response, input is discarded; if left unread it would cause a reset
+  const bool first = !c.parser.begun() && c.input.empty();
+  if (first) c.requestStartedAt = loop_.now();
+  if (first && c.hasRequested) c.requestDueAt = loop_.now() + kRequestTimeout;
+  c.input.append(c.readBuffer.data(), bytes);
+  processInput(c);
+  if (!c.closed && !c.awaitingAnswer && first) armDeadline(c);
 }
 
-void Clients::process(Connection& c) {
-  const std::shared_ptr<Connection> keep = connections_.share(c.self);
-  while (!c.closed && !c.waiting && !c.ending && !c.buffered.empty()) {
-    if (c.outgoing.size() > kOutgoingMost)
-      return;  // a client that asks and does not read; flush goes on from here
-    std::string_view in = c.buffered;
+void Clients::processInput(Connection& c) {
+  const std::shared_ptr<Connection> guard = connections_.share(c.self);
+  while (!c.closed && !c.awaitingAnswer && !c.closing && !c.input.empty()) {
+    if (c.output.size() > kMaxOutputBytes)
+      return;  // the client sends requests but does not read responses; flush() resumes processing
+    std::string_view in = c.input;
     const HttpParser::State state = c.parser.feed(in);
-    c.buffered.erase(0, c.buffered.size() - in.size());
+    c.input.erase(0, c.input.size() - in.size());
     if (state == HttpParser::State::more) return;
     if (state == HttpParser::State::bad) {
       counters_.add(Count::badRequests);
-      c.keep = false;
+      c.keepAlive = false;
       respond(c, writeResponse(c.parser.errorStatus(), "", "", true));
       return;
     }
-    handle(c, c.parser.take());
+    handleRequest(c, c.parser.take());
   }
 }
 
-void Clients::handle(Connection& c, const HttpMessage& request) {
+void Clients::handleRequest(Connection& c, const HttpMessage& request) {
   counters_.add(Count::requests);
-  c.keep = request.keepAlive;
-  c.asked = true;
-  c.usedAt = loop_.now();
+  c.keepAlive = request.keepAlive;
+  c.hasRequested = true;
+  c.lastUsedAt = loop_.now();
   if (request.target == "/up") {
     const bool up = mixer_.ready() && !draining_;
-    // Who has asked for nothing else has a place only while there are plenty.
-    if (turningAway_ || (!c.queried && crowded())) c.keep = false;
-    return respond(c, writeResponse(up ? 200 : 503, "", "", !c.keep));
+    // A client that has sent no query may stay connected only while there is plenty of capacity.
+    if (keepAliveStopped_ || (!c.hasQueried && isCrowded())) c.keepAlive = false;
+    return respond(c, writeResponse(up ? 200 : 503, "", "", !c.keepAlive));
   }
-  ReadQuery read = readQuery(request, mixer_.host(), c.receivedAt);
-  read.query.until = std::min(read.query.until, endBy_);
-  c.queried = c.queried || read.status == 0;
-  c.waiting = true;
+  ReadQuery parsed = readQuery(request, mixer_.host(), c.requestStartedAt);
+  parsed.query.until = std::min(parsed.query.until, answerBy_);
+  c.hasQueried = c.hasQueried || parsed.status == 0;
+  c.awaitingAnswer = true;
   loop_.deadlines.drop(c.deadline);
-  if (read.status == 0) {
+  if (parsed.status == 0) {
     const bool taken = mixer_.submit(
-        std::move(read.query),
+        std::move(parsed.query),
         [this, h = c.self](const FinalAnswer& answer) {
           Connection* to = connections_.get(h);
           if (!to) return;
-          if (turningAway_) to->keep = false;
-          respond(*to, writeAnswer(answer, !to->keep));
+          if (keepAliveStopped_) to->keepAlive = false;
+          respond(*to, writeAnswer(answer, !to->keepAlive));
         },
         c.query);
     if (taken) return;
-    read = {400, "X-Request-ID is in use", {}};
+    parsed = {400, "X-Request-ID is in use", {}};
   }
   counters_.add(Count::badRequests);
   const std::string* cls = request.header("x-priority-class");
   if (cls && mixer_.host().classOf(*cls, loop_.now()) >= 0) ++counters_.ofClass(*cls).aborted;
-  logLine("request turned away: %s", read.why.c_str());
-  c.keep = false;
-  const Json body = {{"error", read.why}};
-  respond(c, writeResponse(read.status, "", body.dump(), true));
+  logLine("request turned away: %s", parsed.error.c_str());
+  c.keepAlive = false;
+  const Json body = {{"error", parsed.error}};
+  respond(c, writeResponse(parsed.status, "", body.dump(), true));
 }
 
-// The answer to the present request; then the next one, or the end of the connection.
+// Writes the response to the current request, then goes on with the next request or ends the connection.
 void Clients::respond(Connection& c, const std::string& response) {
-  const std::shared_ptr<Connection> keep = connections_.share(c.self);  // a failed write ends the connection
-  c.waiting = false;
+  const std::shared_ptr<Connection> guard = connections_.share(c.self);  // a failed write ends the connection
+  c.awaitingAnswer = false;
   c.query = {};
-  c.ending = !c.keep;
-  c.usedAt = c.receivedAt = loop_.now();
-  c.dueAt = loop_.now() + kRequestTime;  // of what it has sent ahead
-  c.outgoing += response;
-  watch(c);
+  c.closing = !c.keepAlive;
+  c.lastUsedAt = c.requestStartedAt = loop_.now();
+  c.requestDueAt = loop_.now() + kRequestTimeout;  // for a pipelined request, received in part already
+  c.output += response;
+  armDeadline(c);
   flush(c);
-  resume(c);
-  trimIdle();
+  resumeInput(c);
+  trimIdleConnections();
 }
 
-// Goes on with what a client has sent ahead: later, not from within the turn that answered its forerunner.
-void Clients::resume(Connection& c) {
-  if (c.closed || c.ending || c.buffered.empty()) return;
+// Processes pipelined input, posted to the loop: not within the turn that answered the previous request.
+void Clients::resumeInput(Connection& c) {
+  if (c.closed || c.closing || c.input.empty()) return;
   boost::asio::post(loop_.strand, [this, h = c.self] {
     const std::shared_ptr<Connection> next = connections_.share(h);  // processing may end the connection
     if (!next) return;
-    process(*next);
-    read(*next);
+    processInput(*next);
+    startReading(*next);
   });
 }
 
 void Clients::flush(Connection& c) {
   if (c.closed || c.writing) return;
   std::size_t done = 0;
-  while (done < c.outgoing.size()) {
+  while (done < c.output.size()) {
     error_code ec;
-    done += c.socket.write_some(boost::asio::buffer(c.outgoing) + done, ec);
+    done += c.socket.write_some(boost::asio::buffer(c.output) + done, ec);
     if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) {
       c.writing = true;
       c.socket.async_wait(tcp::socket::wait_write, [this, h = c.self](const error_code&) {
@@ -545,49 +561,50 @@
         if (!again) return;
         again->writing = false;
         flush(*again);
-        if (again->outgoing.empty()) resume(*again);
+        if (again->output.empty()) resumeInput(*again);
       });
       break;
     }
     if (ec) return close(c);
   }
-  c.outgoing.erase(0, done);
-  if (c.outgoing.empty() && c.ending) end(c);
+  c.output.erase(0, done);
+  if (c.output.empty() && c.closing) shutdownSend(c);
 }
 
-// Says that nothing more comes and waits for the client to close: to close with something unread would reset
-// the connection and could cost the client its answer.
-void Clients::end(Connection& c) {
+// Shuts down the sending side and waits for the client to close: a close with unread input would reset the
+// connection, and the client could lose the response.
+void Clients::shutdownSend(Connection& c) {
   error_code ignored;
   c.socket.shutdown(tcp::socket::shutdown_send, ignored);
-  c.buffered.clear();
-  read(c);
+  c.input.clear();
+  startReading(c);
 }
 
 void Clients::close(Connection& c) {
   if (c.closed) return;
-  const std::shared_ptr<Connection> keep = connections_.share(c.self);
+  const std::shared_ptr<Connection> guard = connections_.share(c.self);
   c.closed = true;
   loop_.deadlines.drop(c.deadline);
   error_code ignored;
   c.socket.close(ignored);
   connections_.remove(c.self);
-  if (c.waiting) mixer_.abandon(c.query);
-  acceptAgain();
+  if (c.awaitingAnswer) mixer_.abandon(c.query);
+  restartAccepting();
 }
 
-void Clients::acceptAgain() {
-  if (accepting_ || !acceptor_.is_open()) return;
-  accepting_ = true;
+void Clients::restartAccepting() {
+  if (acceptPending_ || !acceptor_.is_open()) return;
+  acceptPending_ = true;
   boost::asio::post(loop_.strand, [this] { Acceptor{this}(); });
 }
 
-// Who makes no room now may in a moment, without any connection's end.
-void Clients::acceptLater() {
-  if (acceptPause_) return;
-  acceptPause_ = loop_.deadlines.add(loop_.now() + kAcceptPause, [this] {
-    acceptPause_.reset();
-    acceptAgain();
+// Retries after a delay: a connection that may not be shed now may be shed a moment later, and no event marks
+// that moment.
+void Clients::restartAcceptingLater() {
+  if (acceptRetry_) return;
+  acceptRetry_ = loop_.deadlines.add(loop_.now() + kAcceptRetryDelay, [this] {
+    acceptRetry_.reset();
+    restartAccepting();
   });
 }
 
--- a/src/front/http/clients.hpp
+++ b/src/front/http/clients.hpp
@@ -1,5 +1,5 @@
-// The HTTP front: accepts clients' connections, turns requests into queries for the mixer and final answers
-// into responses.
+// The HTTP front: accepts client connections, converts requests to queries for the mixer and final answers
+// to responses.
 #pragma once
 
 #include <array>
@@ -17,35 +17,39 @@
 
 namespace cometdeal::net {
 
-// What a request asks for, or the status to turn it away with.
+// The query in a request, or the HTTP status and the error text to reject the request with.
 struct ReadQuery {
-  int status = 0;  // 0: the query is good
-  std::string why;
+  int status = 0;  // 0: the request is valid and `query` is set
+  std::string error;
   NewQuery query;
 };
+// Validates a request to /api or /api/KEY. `receivedAt`: when its first byte arrived, on the loop's clock.
 ReadQuery readQuery(const HttpMessage& request, const HostSettings& host, Micros receivedAt);
+// The HTTP response for a final answer. `close`: the connection ends after it.
 std::string writeAnswer(const FinalAnswer& answer, bool close);
 
+// Serves HTTP/1.1 clients on one listener, up to a maximum number of connections.
 class Clients {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  Clients(Loop& loop, Counters& counters, Mixer& mixer, int connectionsMost);
-  void listen(const Address& address);  // throws boost::system::system_error; port 0: any that is free
+  Clients(Loop& loop, Counters& counters, Mixer& mixer, int maxConnections);
+  void listen(const Address& address);  // throws boost::system::system_error; port 0 selects a free port
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
-  // In place of listen: on a socket that listens there and that another process accepts from too. The
-  // descriptor belongs to this from then on. Throws BadConfig: which one, what is wrong, what was expected.
-  void adopt(int descriptor, const Address& address);
+  // In place of listen(): accepts from an inherited socket that listens on `address` and that another process
+  // also accepts from. Takes ownership of the descriptor. Throws BadConfig if it is not such a socket.
+  void adoptListener(int descriptor, const Address& address);
   bool accepting() const { return acceptor_.is_open() && !draining_; }
-  // From now on /up says no, and what is taken has its answer by then. A shared listener is let go: what
-  // waits in its queue is the other process's.
-  void drain(Micros endBy);
-  void turnAway();  // answers end their connections, idle ones are closed
-  // To be called again and again in a drain that another process takes over from: answers end their
-  // connections, and of the idle ones those are closed that have asked before and been silent for long.
+  // From now on /up answers 503, and queries get their final answer by `answerBy` at the latest. A shared
+  // listener is closed: the connections in its backlog are left to the other process.
+  void drain(Micros answerBy);
+  // From now on each connection is closed after its next response; closes the idle connections.
+  void stopKeepAlive();
+  // Called repeatedly during a drain in which another process takes over the clients. As stopKeepAlive(), but
+  // closes only those idle connections that have sent a request before and have been silent for a while.
   void handOver();
-  void finish();      // closes the listener, takes what it still held, and all that is idle
-  bool busy() const;  // a request has begun to come in or waits for its answer
+  void finish();      // accepts the connections that wait in the backlog, then closes the listener
+  bool busy() const;  // some connection has unprocessed input, an open query or unsent output
   std::size_t connections() const { return connections_.size(); }
 
  private:
@@ -54,49 +58,49 @@
     tcp::socket socket;
     HttpParser parser;
     Handle self, query;
-    bool waiting = false;  // for the answer to a request
-    bool keep = true;      // of the request that is being answered
-    bool ending = false;   // the last answer is on its way
+    bool awaitingAnswer = false;  // a request has been read and its response not yet written
+    bool keepAlive = true;        // as the current request asks for, unless the server decides to close
+    bool closing = false;         // the last response has been queued; the connection ends after it
     bool reading = false, writing = false, closed = false;
-    bool asked = false;    // has sent a whole request before
-    bool queried = false;  // one of them was a query
-    Micros receivedAt = 0, usedAt = 0;
-    Micros dueAt = 0;  // by when the request that has begun, or the first one, must be whole
-    std::string buffered, outgoing;
-    std::array<char, 8192> incoming;
+    bool hasRequested = false;  // has sent a complete request
+    bool hasQueried = false;    // has sent a valid query
+    Micros requestStartedAt = 0, lastUsedAt = 0;
+    Micros requestDueAt = 0;  // by when a request that has begun, or the first one, must be complete
+    std::string input, output;
+    std::array<char, 8192> readBuffer;
     std::optional<Deadlines::Key> deadline;
   };
   struct Reader;
   struct Acceptor;
 
-  void accepted(tcp::socket socket);
-  void received(Connection& c, std::size_t bytes);
-  void process(Connection& c);
-  void handle(Connection& c, const HttpMessage& request);
+  void onAccepted(tcp::socket socket);
+  void onReceived(Connection& c, std::size_t bytes);
+  void processInput(Connection& c);
+  void handleRequest(Connection& c, const HttpMessage& request);
   void respond(Connection& c, const std::string& response);
   void flush(Connection& c);
-  void resume(Connection& c);
-  void end(Connection& c);
+  void resumeInput(Connection& c);
+  void shutdownSend(Connection& c);
   void close(Connection& c);
-  void watch(Connection& c);
-  void read(Connection& c);
-  bool idle(const Connection& c) const;
-  void late(Connection& c);
-  bool shedIdle();
-  void trimIdle();
-  void acceptAgain();
-  void acceptLater();
-  bool crowded() const { return int(connections_.size()) > connectionsMost_ / 2; }
+  void armDeadline(Connection& c);
+  void startReading(Connection& c);
+  bool isIdle(const Connection& c) const;
+  void onDeadline(Connection& c);
+  bool shedConnection();
+  void trimIdleConnections();
+  void restartAccepting();
+  void restartAcceptingLater();
+  bool isCrowded() const { return int(connections_.size()) > maxConnections_ / 2; }
 
   Loop& loop_;
   Counters& counters_;
   Mixer& mixer_;
-  int connectionsMost_;
+  int maxConnections_;
   tcp::acceptor acceptor_;
-  bool accepting_ = false, draining_ = false, turningAway_ = false;
-  bool shared_ = false;  // the listener: another process may accept from it
-  Micros endBy_ = INT64_MAX;
-  std::optional<Deadlines::Key> acceptPause_;
+  bool acceptPending_ = false, draining_ = false, keepAliveStopped_ = false;
+  bool sharedListener_ = false;  // another process also accepts from the listener
+  Micros answerBy_ = INT64_MAX;
+  std::optional<Deadlines::Key> acceptRetry_;
   Slots<Connection> connections_;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The mixer: reads its configuration, wires the parts together, handles signals.
+// The mixer program: reads the configuration, creates and connects the modules, handles signals.
 #include <fcntl.h>
 #include <sys/resource.h>
 
@@ -33,20 +33,23 @@
 using namespace cometdeal;
 using namespace cometdeal::net;
 
-// Descriptors kept back from clients: for leaf servers, and for discovery, the listener and the standard
-// ones.
-constexpr int kForLeaves = 256, kForOthers = 32;
-// Of the last, for operators: a sixteenth of all, between these.
-constexpr int kAdminLeast = 4, kAdminMost = 16, kAdminPart = 16;
-// After SIGTERM connections go on coming for a while; the program outlasts that even with nothing to do.
-// SIGKILL comes so much later than the longest deadline, which counts as kDeadlineMost at the most; what is
-// taken meanwhile has its answer kKillMargin ahead of it.
-constexpr Micros kDrainLeast = 700'000, kDrainLook = 20'000, kDeadlineMost = 3'000'000, kKillMargin = 150'000;
+// Descriptors that client connections may not use: for leaf servers; for discovery, operators, the listener
+// and the standard streams.
+constexpr int kLeafDescriptors = 256, kOtherDescriptors = 32;
+// Operators' connections, which use kOtherDescriptors: 1/kAdminConnectionsDivisor of all descriptors, within
+// these bounds.
+constexpr int kMinAdminConnections = 4, kMaxAdminConnections = 16, kAdminConnectionsDivisor = 16;
+// After SIGTERM, new connections still arrive for a while, so the program stays up for at least kMinDrainTime
+// even if it is idle. The platform sends SIGKILL kMinDrainTime after the longest deadline, of which it counts
+// kMaxDrainDeadline at most. Queries accepted during the drain get their answer kKillMargin before that.
+constexpr Micros kMinDrainTime = 700'000, kDrainCheckInterval = 20'000, kMaxDrainDeadline = 3'000'000,
+                 kKillMargin = 150'000;
 
-int descriptors(int told) {
+// The number of descriptors this process may use: as configured, within the limit of the system.
+int descriptorLimit(int configured) {
   rlimit limit{};
-  if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return told;
-  return int(std::min<rlim_t>(limit.rlim_cur, rlim_t(told)));
+  if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return configured;
+  return int(std::min<rlim_t>(limit.rlim_cur, rlim_t(configured)));
 }
 
 #ifdef COMETDEAL_GRPC
@@ -55,58 +58,62 @@
   config.host.plans = readPlansFile(config.plansFile, config.host.classNames, config.settings.classes);
 }
 
-// gRPC in and out, where the configuration names a file for it.
+// The gRPC front and the gRPC leaf side; present if the configuration names a file for them.
 struct Grpc {
   grpc::Config config;
   LeafSockets leaves;
   LeafSides sides;
   std::optional<GrpcServer> server;
 
-  static ChannelLimits limits(const grpc::Config& grpc, const Config& config, int connectionsMost) {
+  static ChannelLimits limits(const grpc::Config& grpc, const Config& config, int maxConnections) {
     ChannelLimits out;
     out.connectTimeout = config.host.connectTimeout;
     out.connIdle = config.settings.connIdle.value_or(0);
     out.keepalive = grpc.keepalive;
     out.connectionsPerLeaf = grpc.connectionsPerLeaf;
-    out.connectionsMost = connectionsMost;
+    out.connectionsMost = maxConnections;
     out.portOffset = grpc.leafPortOffset;
     out.messageMost = grpc.messageMost;
     out.metadataMost = grpc.metadataMost;
     out.streamWindow = grpc.streamWindow;
     return out;
   }
-  Grpc(Loop& loop, Counters& counters, const Config& of, LeafSide& texts, int connectionsMost)
-      : config(grpc::readConfigFile(of.grpcFile, of.host.classNames, of.settings.classes)),
-        leaves(loop, std::make_unique<Channels>(limits(config, of, connectionsMost), &counters)),
-        sides(texts, leaves) {}
+  // `frameLeaves`: the leaf side of HTTP queries. It and the gRPC leaf side are combined in `sides`.
+  Grpc(Loop& loop, Counters& counters, const Config& mixerConfig, LeafSide& frameLeaves, int maxConnections)
+      : config(grpc::readConfigFile(mixerConfig.grpcFile, mixerConfig.host.classNames,
+                                    mixerConfig.settings.classes)),
+        leaves(loop, std::make_unique<Channels>(limits(config, mixerConfig, maxConnections), &counters)),
+        sides(frameLeaves, leaves) {}
   void listen(Loop& loop, Counters& counters, Mixer& mixer, const HostSettings& host) {
     server.emplace(loop, counters, mixer, config, host.classKeyed, host.shards);
     server->listen();
   }
 };
 #else
-// The same, in a build without gRPC and YAML: a configuration that asks for it is not served in silence.
+// Replacements for a build without gRPC and YAML: a configuration that asks for them ends the start with an
+// error instead of being ignored.
 void readPlans(const Config& config) {
   if (!config.plansFile.empty()) throw BadConfig("'plans' is set, but this program was built without YAML");
 }
 struct Grpc {
-  struct Nothing {
+  struct NoServer {
     void drain(Micros) {}
     void finish() {}
     bool busy() const { return false; }
   };
-  std::optional<Nothing> server;
+  std::optional<NoServer> server;
   LeafSide& sides;
-  Nothing leaves;
-  Grpc(Loop&, Counters&, const Config&, LeafSide& texts, int) : sides(texts) {
+  NoServer leaves;
+  Grpc(Loop&, Counters&, const Config&, LeafSide& frameLeaves, int) : sides(frameLeaves) {
     throw BadConfig("'grpc' is set, but this program was built without gRPC");
   }
   void listen(Loop&, Counters&, Mixer&, const HostSettings&) {}
 };
 #endif
 
-// The platform's socket for clients, where it holds one: both processes of an upgrade accept from it. To be
-// called before the program opens anything, which might get that very number.
+// The descriptor of the listener for clients, if the platform passes one on: both processes of an upgrade
+// accept from it. Must be called before the program opens anything, since a new descriptor might get the same
+// number. Throws BadConfig if BALANCER_FD is malformed or the descriptor is not open.
 std::optional<int> inheritedListener() {
   const char* text = std::getenv("BALANCER_FD");
   if (!text) return std::nullopt;
@@ -120,29 +127,29 @@
   return out;
 }
 
-// The configuration and the environment both name it; a process that trusted one of two would take the
-// other's place.
+// The operators' address, from BALANCER_ADMIN or the configuration. Throws BadConfig if the two differ: a
+// process that used one of them could occupy the address of another process.
 std::optional<Address> adminAddress(const Config& config) {
   const char* text = std::getenv("BALANCER_ADMIN");
   if (!text) return config.admin;
-  const Address told = readAddress(text);
-  if (config.admin && *config.admin != told)
-    throw BadConfig("BALANCER_ADMIN is " + asText(told) + ", expected 'admin' of the configuration, " +
-                    asText(*config.admin));
-  return told;
+  const Address fromEnvironment = readAddress(text);
+  if (config.admin && *config.admin != fromEnvironment)
+    throw BadConfig("BALANCER_ADMIN is " + asText(fromEnvironment) +
+                    ", expected 'admin' of the configuration, " + asText(*config.admin));
+  return fromEnvironment;
 }
 
-template <typename What>
-void listenOn(What& what, const Address& address) {
+template <typename Server>
+void listenOn(Server& server, const Address& address) {
   try {
-    what.listen(address);
+    server.listen(address);
   } catch (const boost::system::system_error& problem) {
     throw BadConfig("cannot listen on " + asText(address) + ": " + problem.code().message());
   }
 }
 
-// Caught from before the configuration is read: one that comes early must be neither lost nor end the
-// program in the system's way.
+// Registered before the configuration is read: an early signal must neither be lost nor end the program by
+// the system's default action.
 struct Signals {
   explicit Signals(Loop& loop)
       : reload(loop.strand, SIGHUP), report(loop.strand, SIGUSR1), stop(loop.strand, SIGTERM, SIGINT) {}
@@ -152,69 +159,72 @@
 int serve(Loop& loop, Signals& signals, const char* path, std::optional<int> inherited) {
   Config config = readConfigFile(path);
   readPlans(config);
-  const std::optional<Address> adminAt = adminAddress(config);
+  const std::optional<Address> adminListen = adminAddress(config);
   Counters counters;
-  // In an upgrade the old process and the new one hold descriptors of one mixer, and neither sees the
-  // other's.
-  const int sockets = descriptors(config.sockets) / (inherited ? 2 : 1);
-  const int forLeaves = std::min(kForLeaves, sockets / 3);
-  auto links = std::make_unique<Links>(linkLimits(config.host, config.settings, forLeaves), &counters);
+  // During an upgrade the old and the new process share the descriptor limit of one mixer, and neither knows
+  // how many the other one uses. So each uses half.
+  const int sockets = descriptorLimit(config.sockets) / (inherited ? 2 : 1);
+  const int leafDescriptors = std::min(kLeafDescriptors, sockets / 3);
+  auto links = std::make_unique<Links>(linkLimits(config.host, config.settings, leafDescriptors), &counters);
   Links& frames = *links;
   LeafSockets leaves(loop, std::move(links));
   std::optional<Grpc> grpc;
-  if (!config.grpcFile.empty()) grpc.emplace(loop, counters, config, leaves, forLeaves);
+  if (!config.grpcFile.empty()) grpc.emplace(loop, counters, config, leaves, leafDescriptors);
   Mixer mixer(loop, counters, grpc ? static_cast<LeafSide&>(grpc->sides) : leaves, config.settings,
               config.host, config.seed);
-  std::optional<std::int64_t> index;
-  if (config.known) {
-    mixer.list(*config.known, ListKind::restored);
-    index = config.known->index;
+  std::optional<std::int64_t> listIndex;
+  if (config.restoredList) {
+    mixer.list(*config.restoredList, ListKind::restored);
+    listIndex = config.restoredList->index;
   }
-  Discovery discovery(loop, counters, config.discovery, config.host.zones, index);
+  Discovery discovery(loop, counters, config.discovery, config.host.zones, listIndex);
   discovery.onList = [&](const LeafList& list) {
     mixer.list(list, list.whole ? ListKind::complete : ListKind::changes);
   };
-  Clients clients(loop, counters, mixer, std::max(8, sockets - forLeaves - kForOthers));
-  const auto figures = [&] {
-    Figures out;
+  Clients clients(loop, counters, mixer, std::max(8, sockets - leafDescriptors - kOtherDescriptors));
+  const auto processStatus = [&] {
+    ProcessStatus out;
     out.outstanding = mixer.open();
     const Aggregator::Listed listed = mixer.listed();
-    out.discovered = listed.all, out.ejected = listed.avoided;
-    out.notReady = !clients.accepting() ? "it stops" : "it has no list of leaf servers yet";
+    out.discovered = listed.all;
+    out.ejected = listed.avoided;
+    out.notReadyReason = !clients.accepting() ? "it stops" : "it has no list of leaf servers yet";
     out.ready = clients.accepting() && mixer.ready();
     return out;
   };
-  AdminServer admin(loop, std::clamp(sockets / kAdminPart, kAdminLeast, kAdminMost),
-                    [&](const std::string& call) { return answerCall(call, figures(), counters); });
-  // The clients' listener comes last: whoever connects there is served.
-  if (adminAt) listenOn(admin, *adminAt);
+  AdminServer admin(
+      loop, std::clamp(sockets / kAdminConnectionsDivisor, kMinAdminConnections, kMaxAdminConnections),
+      [&](const std::string& call) { return answerCall(call, processStatus(), counters); });
+  // The listener for HTTP clients opens last, when nothing can prevent the start any more: a client that can
+  // connect is served.
+  if (adminListen) listenOn(admin, *adminListen);
   if (grpc) grpc->listen(loop, counters, mixer, config.host);
   if (inherited)
-    clients.adopt(*inherited, config.listen);
+    clients.adoptListener(*inherited, config.listen);
   else
     listenOn(clients, config.listen);
   discovery.start();
   logLine("%s: listening on %s:%u", config.name.c_str(), config.listen.host.c_str(),
           unsigned(config.listen.port));
 
-  // A reload takes settings and the address of discovery, all or nothing; queries, connections and what the
-  // module has learned stay as they are. What is bound at the start (addresses, seed, limits, other files)
-  // takes a restart.
-  const int keptClasses = grpc ? int(config.settings.classes.size()) : 0;  // its routes name them by place
+  // A reload applies the settings and the address of discovery, all or nothing; queries, connections and what
+  // the module has learned stay as they are. A change of what is used only at the start (addresses, seed,
+  // limits, other files) takes a restart.
+  const int retainedClasses = grpc ? int(config.settings.classes.size()) : 0;  // gRPC routes use the index
   std::function<void()> waitReload = [&] {
     signals.reload.async_wait([&](const boost::system::error_code& ec, int) {
       if (ec) return;
       try {
         Config next = readReload(path, config);
-        mixer.retune(next.settings, next.host, keptClasses);
-        frames.limit(linkLimits(next.host, next.settings, forLeaves));
+        mixer.retune(next.settings, next.host, retainedClasses);
+        frames.limit(linkLimits(next.host, next.settings, leafDescriptors));
         discovery.moveTo(next.discovery, next.host.zones);
         counters.add(Count::reloads);
         logLine("%s: reloaded, discovery at %s, %d classes", config.name.c_str(),
                 asText(next.discovery).c_str(), int(next.settings.classes.size()));
         config.settings = next.settings;
-        config.body = next.body;
-      } catch (const BadConfig& problem) {  // a bad file must not end what serves by the old one
+        config.source = next.source;
+      } catch (const BadConfig& problem) {  // a bad file must not end a process that serves
         counters.add(Count::reloadsFailed);
         logLine("%s: not reloaded: %s", config.name.c_str(), problem.what());
       }
@@ -230,31 +240,33 @@
     });
   };
   waitReport();
-  Micros longest = 0, stoppedAt = 0;
+  Micros longestDeadline = 0, stoppedAt = 0;
   const auto grpcBusy = [&] { return grpc && grpc->server->busy(); };
-  std::function<void()> drained = [&] {
-    // All that is held is finished first; then the backlog is taken, and what that brought is finished too.
-    if (inherited) clients.handOver();  // another process serves whoever comes again
-    if (loop.now() - stoppedAt >= longest) clients.turnAway();
-    if (clients.connections() > 0 && loop.now() - stoppedAt < longest) {
-      // Another mixer may be away at the same time: clients that stay are served for as long as there is
-      // time.
-    } else if (loop.now() - stoppedAt >= kDrainLeast && mixer.open() == 0 && !clients.busy() && !grpcBusy()) {
+  std::function<void()> continueDrain = [&] {
+    if (inherited) clients.handOver();  // another process serves clients that connect again
+    if (loop.now() - stoppedAt >= longestDeadline) clients.stopKeepAlive();
+    if (clients.connections() > 0 && loop.now() - stoppedAt < longestDeadline) {
+      // Another mixer may be down at the same time: clients that stay connected are served as long as
+      // possible.
+    } else if (loop.now() - stoppedAt >= kMinDrainTime && mixer.open() == 0 && !clients.busy() &&
+               !grpcBusy()) {
+      // Nothing is open any more. The backlog is accepted, and the queries that it brings are finished too.
       clients.finish();
       if (grpc) grpc->server->finish();
       if (!clients.busy() && !grpcBusy() && mixer.open() == 0) return loop.io.stop();
     }
-    loop.deadlines.add(loop.now() + kDrainLook, [&] { drained(); });
+    loop.deadlines.add(loop.now() + kDrainCheckInterval, [&] { continueDrain(); });
   };
   signals.stop.async_wait([&](const boost::system::error_code& ec, int) {
     if (ec) return;
     logLine("%s: stopping", config.name.c_str());
     stoppedAt = loop.now();
-    for (const ClassSettings& cls : mixer.settings().classes) longest = std::max(longest, cls.deadline);
-    longest = std::min(longest, kDeadlineMost);
-    clients.drain(stoppedAt + longest + kDrainLeast - kKillMargin);
-    if (grpc) grpc->server->drain(stoppedAt + longest + kDrainLeast - kKillMargin);
-    drained();
+    for (const ClassSettings& cls : mixer.settings().classes)
+      longestDeadline = std::max(longestDeadline, cls.deadline);
+    longestDeadline = std::min(longestDeadline, kMaxDrainDeadline);
+    clients.drain(stoppedAt + longestDeadline + kMinDrainTime - kKillMargin);
+    if (grpc) grpc->server->drain(stoppedAt + longestDeadline + kMinDrainTime - kKillMargin);
+    continueDrain();
   });
   loop.io.run();
   discovery.stop();
@@ -269,7 +281,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   try {
     const char* path = std::getenv("BALANCER_CONFIG");
-    if (!path) throw BadConfig("BALANCER_CONFIG is not set");
+    if (!path) throw BadConfig("BALANCER_CONFIG is not set, expected the path of the configuration file");
     const std::optional<int> inherited = inheritedListener();
     Loop loop;
     Signals signals(loop);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,6 +1,6 @@
-// A mixer that is replaced while it serves, and the operators' second address: real processes of the program
-// on a listener that they inherit, scripted leaf servers, clients and operators around them.
-// `upgrade_test NAME` plays one test.
+// Tests of the upgrade of a mixer that serves (its replacement by a new process), of the operators' address
+// and of reloads. They start processes of the mixer program on an inherited listener, with scripted leaf
+// servers, clients and operators. `upgrade_test NAME` runs one test.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -32,7 +32,7 @@
 using Json = nlohmann::json;
 
 #ifdef NDEBUG
-#error "a test without asserts can't fail"
+#error "these tests need assert(): build without NDEBUG"
 #endif
 
 namespace {
@@ -48,8 +48,8 @@
   std::ifstream file(path);
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
-// A socket on loopback, on a port that is free.
-int bound(bool listening, std::uint16_t& port) {
+// A socket bound to a free port on loopback.
+int boundSocket(bool listening, std::uint16_t& port) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in at{};
   at.sin_family = AF_INET;
@@ -63,27 +63,27 @@
 }
 std::uint16_t freePort() {
   std::uint16_t port = 0;
-  close(bound(false, port));
+  close(boundSocket(false, port));
   return port;
 }
 std::string local(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-// One process of the program.
+// One process of the mixer program.
 struct Process {
   pid_t pid = -1;
   std::uint16_t admin = 0;
   std::filesystem::path log;
-  int status = -1;  // once it has ended; 128 + N: by signal N
+  int status = -1;  // the exit status once it has ended; 128 + N if signal N ended it
 
   bool ended() {
-    int how = 0;
-    if (pid > 0 && waitpid(pid, &how, WNOHANG) == pid) {
-      status = WIFEXITED(how) ? WEXITSTATUS(how) : 128 + WTERMSIG(how);
+    int waitStatus = 0;
+    if (pid > 0 && waitpid(pid, &waitStatus, WNOHANG) == pid) {
+      status = WIFEXITED(waitStatus) ? WEXITSTATUS(waitStatus) : 128 + WTERMSIG(waitStatus);
       pid = -1;
     }
     return pid < 0;
   }
-  // Of its last report: printed at its end.
+  // From the last counter report, which the process prints when it ends.
   std::uint64_t counter(const std::string& name) const {
     const std::string text = readFile(log), line = "counter " + name + " ";
     const std::size_t at = text.rfind(line);
@@ -114,7 +114,7 @@
   close(fd);
   return out;
 }
-// What comes back for a call. Empty: nobody listens.
+// The reply to a call at the operators' address; empty if nothing listens there.
 std::string call(std::uint16_t port, const std::string& bytes) {
   const int fd = connectTo(port);
   if (fd < 0) return "";
@@ -127,8 +127,8 @@
   return Json::parse(text.substr(0, text.size() - 3));
 }
 
-// Two leaf servers, and the platform's side: the listener, the configuration, the starts.
-struct World {
+// Two leaf servers, and the platform's part: the listener, the configuration, the start of processes.
+struct TestBed {
   Loop loop;
   std::vector<std::unique_ptr<FrameLeaf>> leaves;
   std::uint16_t port = 0;
@@ -136,9 +136,9 @@
   Json config, environment = Json::object();
   std::vector<std::unique_ptr<Process>> processes;
 
-  World() {
+  TestBed() {
     std::filesystem::create_directories(kFolder / "tmp");
-    // A part whose text says so is never served.
+    // Parts with the text "broken" always fail, those with the text "slow" take 400 ms.
     const auto script = [](const FrameLeaf::Part& p) {
       FrameLeaf::Reply out;
       out.after = p.text == "slow" ? 400 * kMs : 2 * kMs;
@@ -146,7 +146,7 @@
       return out;
     };
     for (int k = 0; k < 2; ++k) leaves.push_back(std::make_unique<FrameLeaf>(loop, script));
-    listener = bound(true, port);
+    listener = boundSocket(true, port);
     config = Json::parse(R"({"name":"n0","seed":"8c1f30d27a5be964","limits":{"sockets":1024},"settings":{
       "balancers":1,"discovery":"pushed","tick":5.0,"zones":["a"],"az":0,
       "categories":[{"name":"plain","aim":1000.0,"hardLimit":2000.0,"lateShare":0.5,"effect":"safe"},
@@ -169,13 +169,13 @@
     config["known"] = {{"index", 1}, {"snapshot", true}, {"endpoints", endpoints}};
     environment = {{"BALANCER_FD", "3"}, {"TMPDIR", (kFolder / "tmp").string()}};
   }
-  ~World() {
+  ~TestBed() {
     for (const auto& p : processes)
       if (!p->ended()) kill(p->pid, SIGKILL), waitpid(p->pid, nullptr, 0);
     std::filesystem::remove_all(kFolder);
   }
-  // `third`: what the process finds as descriptor 3; below 0: nothing.
-  Process& start(int third) {
+  // `inherited`: the descriptor that the process gets as descriptor 3; if negative, it gets none.
+  Process& start(int inherited) {
     Process& p = *processes.emplace_back(std::make_unique<Process>());
     p.admin = freePort();
     const std::string number = std::to_string(++starts);
@@ -187,10 +187,10 @@
     const int log = open(p.log.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
     p.pid = fork();
     if (p.pid == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed test leaves nothing running
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // the process ends when a failed test ends
       dup2(log, 2);
-      if (third >= 0) dup2(third, 3);
-      if (third < 0) closefrom(3);
+      if (inherited >= 0) dup2(inherited, 3);
+      if (inherited < 0) closefrom(3);
       for (const auto& [name, value] : environment.items())
         setenv(name.c_str(), value.get<std::string>().c_str(), 1);
       setenv("BALANCER_CONFIG", file.c_str(), 1);
@@ -205,72 +205,74 @@
     loop.io.restart();
     loop.io.run_for(std::chrono::microseconds(span));
   }
-  void until(const std::function<bool()>& done, const std::string& what) {
+  void waitUntil(const std::function<bool()>& done, const std::string& what) {
     for (const Micros end = loop.now() + 30'000 * kMs; !done();) {
-      check(loop.now() < end, "never: " + what);
+      check(loop.now() < end, "time-out waiting for: " + what);
       run(2 * kMs);
     }
   }
-  void ready(const Process& p) {
-    until([&] { return call(p.admin, "check\r\n").starts_with("+OK"); }, "ready: " + readFile(p.log));
+  void waitReady(const Process& p) {
+    waitUntil([&] { return call(p.admin, "check\r\n").starts_with("+OK"); }, "ready: " + readFile(p.log));
   }
-  void gone(Process& p, int status) {
-    until([&] { return p.ended(); }, "the end of the process");
+  void expectExit(Process& p, int status) {
+    waitUntil([&] { return p.ended(); }, "exit of the process");
     check(p.status == status, "status " + std::to_string(p.status) + "\n" + readFile(p.log));
   }
-  std::uint64_t asked() const {
+  std::uint64_t receivedParts() const {
     std::uint64_t out = 0;
     for (const auto& leaf : leaves) out += leaf->asked;
     return out;
   }
 };
 
-// Clients that ask again as soon as they have an answer, on connections that they keep while they may.
+// Clients that send the next query as soon as they have an answer, on persistent connections.
 struct Load {
-  World& world;
+  TestBed& testBed;
   struct Client {
     std::unique_ptr<HttpClient> connection;
     bool waiting = false;
   };
   std::vector<Client> clients;
-  std::map<std::string, std::map<int, int>> answers;  // by class and status; 0: the connection ended first
-  int asked = 0, told = 0;
-  bool on = true, anew = false;  // anew: each request on a connection of its own
+  std::map<std::string, std::map<int, int>>
+      answers;  // by class and status; status 0: the connection ended without an answer
+  int sent = 0, answered = 0;
+  bool running = true;
+  bool connectEachTime = false;  // each request on a new connection
 
-  Load(World& w, int number) : world(w), clients(std::size_t(number)) {}
+  Load(TestBed& bed, int number) : testBed(bed), clients(std::size_t(number)) {}
   void step() {
     for (Client& c : clients)
-      if (on && !c.waiting) ask(c);
+      if (running && !c.waiting) ask(c);
   }
   void ask(Client& c) {
-    if (!c.connection || anew || c.connection->ended())
-      c.connection = std::make_unique<HttpClient>(world.loop, world.port);
+    if (!c.connection || connectEachTime || c.connection->ended())
+      c.connection = std::make_unique<HttpClient>(testBed.loop, testBed.port);
     HttpQuery q;
-    q.id = "q" + std::to_string(++asked);
-    q.cls = asked % 3 == 0 ? "once" : "plain";
+    q.id = "q" + std::to_string(++sent);
+    q.cls = sent % 3 == 0 ? "once" : "plain";
     q.seconds = 2;
-    q.text = asked % 50 == 7 || asked % 50 == 9 ? "broken" : "t";
-    q.shards = {asked % 8, (asked + 1) % 8};
-    if (asked % 70 == 11) q.shards = {99};  // no such shard: turned away
+    q.text = sent % 50 == 7 || sent % 50 == 9 ? "broken" : "t";
+    q.shards = {sent % 8, (sent + 1) % 8};
+    if (sent % 70 == 11) q.shards = {99};  // no such shard: rejected
     c.waiting = true;
     c.connection->ask(q.request(), [this, &c, cls = q.cls](const HttpMessage& reply) {
       ++answers[cls][reply.status];
-      ++told;
+      ++answered;
       c.waiting = false;
     });
   }
   void runUntil(const std::function<bool()>& done, const std::string& what) {
-    world.until([&] { return step(), done(); }, what);
+    testBed.waitUntil([&] { return step(), done(); }, what);
   }
-  void atLeast(int more) {
-    const int target = told + more;
-    runUntil([&] { return told >= target; }, "more answers");
+  void awaitAnswers(int more) {
+    const int target = answered + more;
+    runUntil([&] { return answered >= target; }, "more answers");
   }
   void finish() {
-    on = false;
-    world.until([&] { return told == asked; }, "the last answers");
+    running = false;
+    testBed.waitUntil([&] { return answered == sent; }, "the last answers");
   }
-  int of(const std::string& cls, std::initializer_list<int> statuses) {
+  int count(const std::string& cls, std::initializer_list<int> statuses) {
     int out = 0;
     for (const int s : statuses) out += answers[cls].contains(s) ? answers[cls][s] : 0;
     return out;
@@ -279,82 +281,84 @@
 
 // ---- Tests -----------------------------------------------------------------------------------------------
 
-// A start that fails says why in one line, with what was expected, and the process that serves goes on.
-void bad() {
-  World w;
-  Process& serving = w.start();
-  w.ready(serving);
+// A failed start prints one line with the error and what was expected, and does not disturb the process that
+// serves.
+void failedStarts() {
+  TestBed bed;
+  Process& serving = bed.start();
+  bed.waitReady(serving);
   std::uint16_t port = 0;
-  const int other = bound(true, port), silent = bound(false, port);
+  const int other = boundSocket(true, port), silent = boundSocket(false, port);
   const int datagrams = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
   const int file = open("/dev/null", O_RDONLY | O_CLOEXEC);
   const std::string taken = local(serving.admin);
   struct Case {
-    int third;
+    int inherited;
     Json environment, admin;
-    const char* said;
+    const char* expectedText;
   };
-  const std::string listenAt = "expected a TCP socket that listens on " + local(w.port);
+  const std::string listenAt = "expected a TCP socket that listens on " + local(bed.port);
   for (const Case& c : std::vector<Case>{
-           {w.listener, {{"BALANCER_FD", "three"}}, nullptr, "'three' is no descriptor"},
-           {w.listener, {{"BALANCER_FD", "3x"}}, nullptr, "'3x' is no descriptor"},
-           {w.listener, {{"BALANCER_FD", "-1"}}, nullptr, "'-1' is no descriptor"},
-           {w.listener, {{"BALANCER_FD", ""}}, nullptr, "'' is no descriptor"},
-           {w.listener, {{"BALANCER_FD", "99999999999"}}, nullptr, "is no descriptor"},
-           {w.listener, {{"BALANCER_FD", "97"}}, nullptr, "descriptor 97 is not open, expected"},
+           {bed.listener, {{"BALANCER_FD", "three"}}, nullptr, "'three' is no descriptor"},
+           {bed.listener, {{"BALANCER_FD", "3x"}}, nullptr, "'3x' is no descriptor"},
+           {bed.listener, {{"BALANCER_FD", "-1"}}, nullptr, "'-1' is no descriptor"},
+           {bed.listener, {{"BALANCER_FD", ""}}, nullptr, "'' is no descriptor"},
+           {bed.listener, {{"BALANCER_FD", "99999999999"}}, nullptr, "is no descriptor"},
+           {bed.listener, {{"BALANCER_FD", "97"}}, nullptr, "descriptor 97 is not open, expected"},
            {-1, {{"BALANCER_FD", "3"}}, nullptr, "descriptor 3 is not open, expected"},
            {file, {{"BALANCER_FD", "3"}}, nullptr, "descriptor 3 is no socket, expected"},
            {datagrams, {{"BALANCER_FD", "3"}}, nullptr, "descriptor 3 is another kind of socket, expected"},
            {silent, {{"BALANCER_FD", "3"}}, nullptr, "descriptor 3 does not listen, expected"},
            {other, {{"BALANCER_FD", "3"}}, nullptr, listenAt.c_str()},
-           {w.listener, Json::object(), "nowhere", "'nowhere' is not an address and a port"},
-           {w.listener, Json::object(), 7, "type must be string"},
-           {w.listener, Json::object(), taken, "cannot listen on"},
-           {w.listener,
+           {bed.listener, Json::object(), "nowhere", "'nowhere' is not an address and a port"},
+           {bed.listener, Json::object(), 7, "type must be string"},
+           {bed.listener, Json::object(), taken, "cannot listen on"},
+           {bed.listener,
             {{"BALANCER_ADMIN", "127.0.0.1:1"}},
             nullptr,
             "expected 'admin' of the configuration"},
-           {w.listener, {{"BALANCER_ADMIN", "here"}}, nullptr, "'here' is not an address and a port"},
+           {bed.listener, {{"BALANCER_ADMIN", "here"}}, nullptr, "'here' is not an address and a port"},
        }) {
-    const Json before = w.environment;
-    w.environment.update(c.environment);
-    w.config["admin"] = c.admin;
-    Process& p = w.start(c.third);
-    w.environment = before;
-    w.gone(p, 2);
+    const Json before = bed.environment;
+    bed.environment.update(c.environment);
+    bed.config["admin"] = c.admin;
+    Process& p = bed.start(c.inherited);
+    bed.environment = before;
+    bed.expectExit(p, 2);
     const std::string log = readFile(p.log);
-    check(log.starts_with("cometdeal: ") && log.find(c.said) != std::string::npos &&
+    check(log.starts_with("cometdeal: ") && log.find(c.expectedText) != std::string::npos &&
               std::count(log.begin(), log.end(), '\n') == 1,
-          std::string("wanted ") + c.said + "\n  got " + log);
+          std::string("expected ") + c.expectedText + "\n  got " + log);
   }
-  // Without the descriptor the address is bound as before, and is in use.
-  w.environment.erase("BALANCER_FD");
-  Process& p = w.start(-1);
-  w.gone(p, 2);
-  check(readFile(p.log).find("cannot listen on " + local(w.port) + ": ") != std::string::npos, "in use");
+  // Without BALANCER_FD the process binds the address itself, which is in use.
+  bed.environment.erase("BALANCER_FD");
+  Process& p = bed.start(-1);
+  bed.expectExit(p, 2);
+  check(readFile(p.log).find("cannot listen on " + local(bed.port) + ": ") != std::string::npos,
+        "no error that the address is in use");
   for (const int fd : {other, silent, datagrams, file}) close(fd);
-  check(call(serving.admin, "check\n").starts_with("+OK"), "the serving process");
-  Load load(w, 4);
-  load.atLeast(50);
+  check(call(serving.admin, "check\n").starts_with("+OK"), "the serving process is not ready");
+  Load load(bed, 4);
+  load.awaitAnswers(50);
   load.finish();
-  check(load.of("plain", {0}) + load.of("once", {0}) == 0, "requests were lost");
+  check(load.count("plain", {0}) + load.count("once", {0}) == 0, "requests were lost");
 }
 
-// The second address: every call has its reply, whatever else is connected there.
-void admin() {
-  World w;
-  w.config["limits"]["sockets"] = 256;
-  const Json known = w.config["known"];
-  w.config["known"] = nullptr;
-  Process& listless = w.start();
-  w.until([&] { return call(listless.admin, "check\n").starts_with("-ERR not ready: "); }, "a reply");
-  check(vars(listless.admin)["discovered"] == 0, "a list out of nothing");
+// The operators' address: every call gets its reply, however many other connections are open there.
+void adminCalls() {
+  TestBed bed;
+  bed.config["limits"]["sockets"] = 256;
+  const Json known = bed.config["known"];
+  bed.config["known"] = nullptr;
+  Process& listless = bed.start();
+  bed.waitUntil([&] { return call(listless.admin, "check\n").starts_with("-ERR not ready: "); }, "a reply");
+  check(vars(listless.admin)["discovered"] == 0, "leaf servers without a list");
   kill(listless.pid, SIGKILL);
-  w.gone(listless, 128 + SIGKILL);
+  bed.expectExit(listless, 128 + SIGKILL);
 
-  w.config["known"] = known;
-  Process& p = w.start();
-  w.ready(p);
+  bed.config["known"] = known;
+  Process& p = bed.start();
+  bed.waitReady(p);
   const Json first = vars(p.admin);
   for (const char* name : {"succeeded", "declined", "aborted"})
     check(first[name] == Json({{"plain", 0}, {"once", 0}}), "at the start: " + first.dump());
@@ -362,7 +366,7 @@
             first["forwards"] == 0 && first["sighup_applied"] == 0 && first["sighup_rejected"] == 0,
         "at the start: " + first.dump());
   const std::string overlong(200, 'v');
-  for (const auto& [said, reply] : std::vector<std::pair<std::string, std::string>>{
+  for (const auto& [request, reply] : std::vector<std::pair<std::string, std::string>>{
            {"check\n", "+OK"},
            {"check\r\n", "+OK"},
            {"check\nvars\n", "+OK"},
@@ -375,66 +379,68 @@
            {overlong + "\n", "-ERR call over 64 bytes"},
            {std::string("\0\x01\xff\n", 4), "-ERR call is not text"},
            {"GET / HTTP/1.1\r\n\r\n", "-ERR unknown call"}})
-    check(call(p.admin, said).starts_with(reply), said + " -> " + call(p.admin, said));
-  // A byte at a time, an end in place of the line's end, and one that leaves in the middle.
-  const int slow = connectTo(p.admin);
+    check(call(p.admin, request).starts_with(reply), request + " -> " + call(p.admin, request));
+  // A call sent byte by byte, a call ended by a half-close instead of a line end, and callers that reset the
+  // connection before the reply.
+  const int trickling = connectTo(p.admin);
   for (const char c : std::string("check\n")) {
-    check(send(slow, &c, 1, MSG_NOSIGNAL) == 1, "send");
+    check(send(trickling, &c, 1, MSG_NOSIGNAL) == 1, "send");
     usleep(2000);
   }
-  check(readAll(slow).starts_with("+OK"), "a byte at a time");
+  check(readAll(trickling).starts_with("+OK"), "a call sent byte by byte");
   const int half = connectTo(p.admin);
   check(send(half, "check", 5, MSG_NOSIGNAL) == 5 && shutdown(half, SHUT_WR) == 0, "send");
-  check(readAll(half).starts_with("+OK"), "ended by an end");
+  check(readAll(half).starts_with("+OK"), "a call ended by a half-close");
   for (int k = 0; k < 20; ++k) {
     const int leaving = connectTo(p.admin);
-    const linger now{1, 0};
-    setsockopt(leaving, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    const linger abortive{1, 0};  // close() resets the connection
+    setsockopt(leaving, SOL_SOCKET, SO_LINGER, &abortive, sizeof abortive);
     check(send(leaving, "vars\n", 5, MSG_NOSIGNAL) == 5, "send");
     close(leaving);
   }
-  // A thousand that hold a half call: replies go on, and clients are served.
+  // A thousand connections hold an incomplete call: other calls get replies, and clients are served.
   std::vector<int> holders;
-  Load load(w, 4);
+  Load load(bed, 4);
   for (int k = 0; k < 1000; ++k) {
     holders.push_back(connectTo(p.admin));
-    check(holders.back() >= 0, "the second address does not listen");
+    check(holders.back() >= 0, "the operators' address does not accept connections");
     send(holders.back(), "va", 2, MSG_NOSIGNAL);
     if (k % 100 != 99) continue;
-    const Micros asked = w.loop.now();
+    const Micros sentAt = bed.loop.now();
     check(vars(p.admin).contains("forwards"), "vars");
-    check(w.loop.now() - asked < 10'000 * kMs, "late");  // owed in 1 s; this machine may be busy
-    load.atLeast(10);
+    check(bed.loop.now() - sentAt < 10'000 * kMs,
+          "a reply took 10 s or more");  // required: 1 s; the machine may be busy
+    load.awaitAnswers(10);
   }
   for (const int fd : holders) close(fd);
   load.finish();
-  check(load.of("plain", {0}) + load.of("once", {0}) == 0, "requests were lost");
+  check(load.count("plain", {0}) + load.count("once", {0}) == 0, "requests were lost");
   kill(p.pid, SIGTERM);
-  w.until([&] { return !call(p.admin, "check\n").starts_with("+OK"); }, "no more ready");
-  w.gone(p, 0);
+  bed.waitUntil([&] { return !call(p.admin, "check\n").starts_with("+OK"); }, "no longer ready");
+  bed.expectExit(p, 0);
   check(p.counter("defects") == 0, "defects");
 }
 
-// Replaces `old` while clients ask and operators look on.
+// Replaces `old` by `next` while clients send queries and operators make calls.
 void replace(Load& load, Process& old, const Process& next) {
   load.runUntil([&] { return call(next.admin, "check\n").starts_with("+OK"); }, "ready");
-  load.atLeast(20);
+  load.awaitAnswers(20);
   kill(old.pid, SIGTERM);
   load.runUntil(
       [&] {
         check(vars(next.admin).contains("succeeded"), "vars");
         return old.ended();
       },
-      "the end of the old one");
+      "exit of the old process");
   check(old.status == 0, "status " + std::to_string(old.status) + "\n" + readFile(old.log));
   check(old.counter("defects") == 0 && old.counter("backstops") == 0, "defects");
-  load.atLeast(20);
-  check(load.of("plain", {0}) + load.of("once", {0}) == 0, "a request met a closed connection");
+  load.awaitAnswers(20);
+  check(load.count("plain", {0}) + load.count("once", {0}) == 0, "a request met a closed connection");
 }
 
-// Whether the process still waits for what comes to the socket: a closed descriptor stays in the set for as
+// Whether the socket is still in an epoll set of the process. A closed descriptor stays in the set for as
 // long as another process holds the socket.
-bool watches(const Process& p, int socket) {
+bool watchesSocket(const Process& p, int socket) {
   struct stat held {};
   check(fstat(socket, &held) == 0, "fstat");
   std::ostringstream wanted;
@@ -444,124 +450,132 @@
   return false;
 }
 
-// Under load, amid idle connections, one that has just connected and a slow writer: each request has one
-// answer, and what both processes count is what clients and leaf servers saw.
-void load() {
-  World w;
-  Process& old = w.start();
-  w.ready(old);
-  Load load(w, 8);
-  load.atLeast(300);
-  // Idle after a query; and one that will ask only after the end of the old process began.
+// An upgrade under load, with idle connections, a connection without a request yet and a client that writes
+// its request slowly: each request gets one answer, and the counters of both processes add up to what the
+// clients and leaf servers saw.
+void replaceUnderLoad() {
+  TestBed bed;
+  Process& old = bed.start();
+  bed.waitReady(old);
+  Load load(bed, 8);
+  load.awaitAnswers(300);
+  // Clients that are idle after a query; later, one that sends its query only after the old process has begun
+  // to drain.
   std::vector<std::unique_ptr<HttpClient>> idle;
   HttpQuery q;
   q.cls = "plain", q.seconds = 2;
   int answered = 0;
   for (int k = 0; k < 5; ++k) {
     q.id = "i" + std::to_string(k);
-    idle.push_back(std::make_unique<HttpClient>(w.loop, w.port));
+    idle.push_back(std::make_unique<HttpClient>(bed.loop, bed.port));
     idle.back()->ask(q.request(), [&](const HttpMessage& m) { answered += m.status == 200; });
   }
-  load.runUntil([&] { return answered == 5; }, "idle ones' answers");
-  const int writer = connectTo(w.port), fresh = connectTo(w.port);
+  load.runUntil([&] { return answered == 5; }, "answers of the idle clients");
+  const int writer = connectTo(bed.port), fresh = connectTo(bed.port);
   q.id = "w0", q.text = "slow";
   const std::string slowText = q.request();
   check(send(writer, slowText.data(), 40, MSG_NOSIGNAL) == 40, "send");
-  load.atLeast(20);
-  Process& next = w.start();
+  load.awaitAnswers(20);
+  Process& next = bed.start();
   load.runUntil([&] { return call(next.admin, "check\n").starts_with("+OK"); }, "ready");
-  load.atLeast(50);
-  check(watches(old, w.listener) && watches(next, w.listener), "the listener is not watched");
+  load.awaitAnswers(50);
+  check(watchesSocket(old, bed.listener) && watchesSocket(next, bed.listener), "the listener is not watched");
   kill(old.pid, SIGTERM);
   load.runUntil([&] { return call(old.admin, "check\n").starts_with("-ERR"); }, "stopping");
-  check(!watches(old, w.listener), "the old one still waits at the listener");
+  check(!watchesSocket(old, bed.listener), "the old process still watches the listener");
   q.id = "f0", q.text = "t";
   const std::string freshText = q.request();
   check(send(fresh, freshText.data(), freshText.size(), MSG_NOSIGNAL) == ssize_t(freshText.size()), "send");
   check(send(writer, slowText.data() + 40, slowText.size() - 40, MSG_NOSIGNAL) > 0, "send");
-  load.runUntil([&] { return old.ended(); }, "the end of the old one");
+  load.runUntil([&] { return old.ended(); }, "exit of the old process");
   check(old.status == 0, "status " + std::to_string(old.status));
-  for (const int fd : {writer, fresh}) check(readAll(fd).starts_with("HTTP/1.1 200"), "an answer");
-  for (const auto& c : idle) check(c->ended(), "an idle connection stays");
-  load.atLeast(50);
+  for (const int fd : {writer, fresh})
+    check(readAll(fd).starts_with("HTTP/1.1 200"), "no answer with status 200");
+  for (const auto& c : idle) check(c->ended(), "an idle connection was not closed");
+  load.awaitAnswers(50);
   load.finish();
   const Json now = vars(next.admin);
   kill(next.pid, SIGTERM);
-  w.gone(next, 0);
+  bed.expectExit(next, 0);
   for (const std::string cls : {"plain", "once"}) {
     const auto both = [&](const std::string& name) {
       check(now[name][cls] == next.counter(name + "." + cls), name + ": " + now.dump());
       return int(old.counter(name + "." + cls) + next.counter(name + "." + cls));
     };
-    const int more = cls == "plain" ? 7 : 0;  // idle ones, writer, fresh
-    check(both("succeeded") == load.of(cls, {200}) + more, "succeeded " + cls);
-    check(both("declined") == load.of(cls, {429, 503}), "declined " + cls);
-    check(both("aborted") == load.of(cls, {400, 504}), "aborted " + cls);
-    check(load.of(cls, {200}) > 0 && load.of(cls, {400}) > 0, "no such ends of " + cls);
-    check(load.of(cls, {0}) == 0, "a request met a closed connection");
+    const int more = cls == "plain" ? 7 : 0;  // the idle clients, `writer` and `fresh`
+    check(both("succeeded") == load.count(cls, {200}) + more, "succeeded " + cls);
+    check(both("declined") == load.count(cls, {429, 503}), "declined " + cls);
+    check(both("aborted") == load.count(cls, {400, 504}), "aborted " + cls);
+    check(load.count(cls, {200}) > 0 && load.count(cls, {400}) > 0, "no answers 200 or 400 for " + cls);
+    check(load.count(cls, {0}) == 0, "a request met a closed connection");
   }
-  check(load.of("plain", {503}) > 0 && load.of("once", {504}) > 0, "no such ends");
-  check(old.counter("forwards") + next.counter("forwards") == w.asked(), "forwards");
-  check(old.counter("succeeded.plain") > 0 && next.counter("succeeded.plain") > 0, "one served all");
+  check(load.count("plain", {503}) > 0 && load.count("once", {504}) > 0,
+        "no answers 503 for plain or 504 for once");
+  check(old.counter("forwards") + next.counter("forwards") == bed.receivedParts(), "forwards");
+  check(old.counter("succeeded.plain") > 0 && next.counter("succeeded.plain") > 0,
+        "one process served all queries");
   check(std::filesystem::is_empty(kFolder / "tmp"), "something was left behind");
 }
 
-// A new process that never has a list to serve by takes no connection, whether it is killed or goes on.
-void killed() {
-  World w;
-  Process& old = w.start();
-  w.ready(old);
-  Load load(w, 8);
-  load.atLeast(50);
-  const Json known = w.config["known"];
-  w.config["known"] = nullptr;
-  Process& listless = w.start();
-  load.runUntil([&] { return call(listless.admin, "check\n").starts_with("-ERR not ready"); }, "its no");
-  load.anew = true;  // both could take them
-  load.atLeast(400);
+// A new process without a list of leaf servers accepts no connection, neither while it runs nor when it is
+// killed: it could not serve the requests.
+void newProcessKilled() {
+  TestBed bed;
+  Process& old = bed.start();
+  bed.waitReady(old);
+  Load load(bed, 8);
+  load.awaitAnswers(50);
+  const Json known = bed.config["known"];
+  bed.config["known"] = nullptr;
+  Process& listless = bed.start();
+  load.runUntil([&] { return call(listless.admin, "check\n").starts_with("-ERR not ready"); },
+                "reply: not ready");
+  load.connectEachTime = true;  // so that either process could accept them
+  load.awaitAnswers(400);
   kill(listless.pid, SIGKILL);
-  load.runUntil([&] { return listless.ended(); }, "its end");
-  load.atLeast(200);
+  load.runUntil([&] { return listless.ended(); }, "exit of the new process");
+  load.awaitAnswers(200);
   load.finish();
-  check(load.of("plain", {0}) + load.of("once", {0}) == 0, "requests were lost");
-  w.config["known"] = known;
-  load.on = true;
-  replace(load, old, w.start());
+  check(load.count("plain", {0}) + load.count("once", {0}) == 0, "requests were lost");
+  bed.config["known"] = known;
+  load.running = true;
+  replace(load, old, bed.start());
   load.finish();
 }
 
-// One after the other: nothing is left behind, nothing is passed on.
-void twenty() {
-  World w;
-  Process* now = &w.start();
-  w.ready(*now);
-  Load load(w, 4);
+// Twenty upgrades in a row: no files are left behind and no descriptors leak from process to process.
+void twentyReplacements() {
+  TestBed bed;
+  Process* now = &bed.start();
+  bed.waitReady(*now);
+  Load load(bed, 4);
   const auto descriptors = [](const Process& p) {
     const std::filesystem::path fds = "/proc/" + std::to_string(p.pid) + "/fd";
     return std::distance(std::filesystem::directory_iterator(fds), {});
   };
   std::ptrdiff_t first = 0;
   for (int k = 0; k < 20; ++k) {
-    Process& next = w.start();
+    Process& next = bed.start();
     replace(load, *now, next);
     now = &next;
     if (k == 0) first = descriptors(next);
-    check(descriptors(next) <= first + 8, "descriptors add up");  // clients come and go
+    check(descriptors(next) <= first + 8, "descriptors leak");  // 8 more: client connections vary
   }
   load.finish();
   check(std::filesystem::is_empty(kFolder / "tmp"), "something was left behind");
 }
 
-// Files at SIGHUP that are turned down whole, with the key named, and what was in force stays so.
-void reload() {
-  World w;
-  Process& p = w.start();
-  w.ready(p);
+// Malformed files at SIGHUP are rejected entirely, the log names the key, and the running settings stay in
+// effect.
+void rejectedReloads() {
+  TestBed bed;
+  Process& p = bed.start();
+  bed.waitReady(p);
   const std::filesystem::path file = kFolder / "config1";
   const std::string good = readFile(file);
   struct Case {
-    const char *path, *value;  // nothing: the key is taken away
-    const char* said;
+    const char *path, *value;  // an empty value: the key is removed
+    const char* expectedText;
   };
   std::vector<Case> cases = {
       {"/settings", "", "'settings' is missing"},
@@ -595,11 +609,12 @@
       {"/settings/limits/maxAttempts", "\"3\"", "maxAttempts' is \"3\""},
       {"/settings/limits/maxAttempts", "null", "maxAttempts' is null"},
       {"/settings/limits/maxAttempts", "0.5", "maxAttempts' is 0.5, expected 1 or more"},
-      {"/settings/categories", "[]", "names no class"},
-      {"/settings/categories/1/name", "\"plain\"", "is 'plain' for the second time"},
+      {"/settings/categories", "[]", "'settings.categories' is empty, expected one class or more"},
+      {"/settings/categories/1/name", "\"plain\"", "is 'plain' a second time, expected unique class names"},
       {"/settings/categories/1/name", "\"\"", "name' is empty"},
       {"/settings/categories/1/effect", "\"maybe\"", "unknown effect 'maybe'"},
-      {"/settings/familyInfo/ranges", "0", "'ranges' is not a number of shards"},
+      {"/settings/familyInfo/ranges", "0",
+       "'settings.familyInfo.ranges' is out of range, expected 1 shard or more"},
       {"/settings/limits/connIdle", "\"long\"", "connIdle"},
       {"/discovery", "\"nowhere\"", "'nowhere' is not an address"},
       {"/settings", "[]", "settings"}};
@@ -618,40 +633,41 @@
       body[at] = Json::parse(c.value);
     else
       body[at.parent_pointer()].erase(at.back());
-    files.emplace_back(body.dump(), c.said);
+    files.emplace_back(body.dump(), c.expectedText);
   }
-  int turnedDown = 0;
-  for (const auto& [text, said] : files) {
+  int rejected = 0;
+  for (const auto& [text, expectedText] : files) {
     std::ofstream(file) << text;
     kill(p.pid, SIGHUP);
-    ++turnedDown;
-    w.until([&] { return vars(p.admin)["sighup_rejected"] == turnedDown; }, "turned down: " + text);
+    ++rejected;
+    bed.waitUntil([&] { return vars(p.admin)["sighup_rejected"] == rejected; }, "rejected: " + text);
     const std::string log = readFile(p.log), line = log.substr(log.rfind("not reloaded: "));
-    check(line.find(said) != std::string::npos, "wanted " + said + "\n  got " + line);
+    check(line.find(expectedText) != std::string::npos, "expected " + expectedText + "\n  got " + line);
   }
   std::filesystem::remove(file);
   kill(p.pid, SIGHUP);
-  w.until([&] { return vars(p.admin)["sighup_rejected"] == turnedDown + 1; }, "no file");
-  check(vars(p.admin)["sighup_applied"] == 0, "a bad file was taken");
-  Load load(w, 4);
-  load.atLeast(100);
+  bed.waitUntil([&] { return vars(p.admin)["sighup_rejected"] == rejected + 1; }, "rejected: no file");
+  check(vars(p.admin)["sighup_applied"] == 0, "a bad file was applied");
+  Load load(bed, 4);
+  load.awaitAnswers(100);
   load.finish();
-  check(load.of("plain", {200}) > 0 && load.of("once", {200}) > 0, "what was in force");
+  check(load.count("plain", {200}) > 0 && load.count("once", {200}) > 0,
+        "the running settings are no longer in effect");
 }
 
-// Classes that come, go and change under requests, and fewer attempts.
-void retune() {
-  World w;
-  Process& p = w.start();
-  w.ready(p);
+// Reloads that add, remove and change classes while requests are open, and one that allows fewer attempts.
+void changedSettings() {
+  TestBed bed;
+  Process& p = bed.start();
+  bed.waitReady(p);
   const std::filesystem::path file = kFolder / "config1";
-  const Json begun = Json::parse(readFile(file));
-  int taken = 0;
-  const auto put = [&](const Json& body) {
+  const Json initial = Json::parse(readFile(file));
+  int applied = 0;
+  const auto reload = [&](const Json& body) {
     std::ofstream(file) << body.dump();
     kill(p.pid, SIGHUP);
-    ++taken;
-    w.until([&] { return vars(p.admin)["sighup_applied"] == taken; }, "taken: " + readFile(p.log));
+    ++applied;
+    bed.waitUntil([&] { return vars(p.admin)["sighup_applied"] == applied; }, "applied: " + readFile(p.log));
   };
   std::map<std::string, int> status;
   std::vector<std::unique_ptr<HttpClient>> clients;
@@ -659,94 +675,95 @@
                        const std::string& key = "") {
     HttpQuery q;
     q.id = id, q.cls = name, q.text = text, q.seconds = 2, q.idempotencyKey = key;
-    clients.push_back(std::make_unique<HttpClient>(w.loop, w.port));
+    clients.push_back(std::make_unique<HttpClient>(bed.loop, bed.port));
     clients.back()->ask(q.request(), [&status, id](const HttpMessage& m) { status[id] = m.status; });
   };
   const auto answered = [&](const std::string& id, int wanted) {
-    w.until([&] { return status.contains(id); }, "an answer to " + id);
+    bed.waitUntil([&] { return status.contains(id); }, "an answer to " + id);
     check(status[id] == wanted, id + ": status " + std::to_string(status[id]));
   };
-  const auto seen = [&](const std::string& id) {
+  const auto attemptsOf = [&](const std::string& id) {
     int out = 0;
-    for (const auto& leaf : w.leaves)
+    for (const auto& leaf : bed.leaves)
       for (const auto& part : leaf->seen()) out += part.id.starts_with(id + ".");
     return out;
   };
-  // `once` goes and its place shifts, `plain` stays, `fresh` comes ahead of it, twice in a row, while
-  // requests of the old ones are under way.
+  // Two identical reloads while requests of the initial classes are open: `once` is removed, `fresh` is added
+  // before `plain`, and `plain` stays, at another index in the file.
   ask("a", "once", "slow");
   ask("b", "plain", "slow");
-  w.until([&] { return seen("a") + seen("b") == 2; }, "under way");
-  Json next = begun;
-  Json fresh = begun["settings"]["categories"][0];
+  bed.waitUntil([&] { return attemptsOf("a") + attemptsOf("b") == 2; }, "under way");
+  Json next = initial;
+  Json fresh = initial["settings"]["categories"][0];
   fresh["name"] = "fresh";
-  next["settings"]["categories"] = {fresh, begun["settings"]["categories"][0]};
-  put(next);
-  put(next);
+  next["settings"]["categories"] = {fresh, initial["settings"]["categories"][0]};
+  reload(next);
+  reload(next);
   answered("a", 200);
   answered("b", 200);
   ask("c", "fresh", "t");
   answered("c", 200);
   ask("d", "plain", "t");
   answered("d", 200);
-  // Who was told before asks for it still, for a while; then it is unknown.
+  // Clients with the old settings still use a removed class for a while; after that it is unknown.
   ask("e", "once", "t");
   answered("e", 200);
-  int k = 0;
-  w.until(
+  int number = 0;
+  bed.waitUntil(
       [&] {
-        const std::string id = "f" + std::to_string(++k);
+        const std::string id = "f" + std::to_string(++number);
         ask(id, "once", "t");
-        w.until([&] { return status.contains(id); }, id);
+        bed.waitUntil([&] { return status.contains(id); }, id);
         return status[id] == 400;
       },
-      "the end of a class");
-  // A stricter effect: `plain` may no longer be sent again, with what asks from now on.
-  const int tries = [&] {
+      "rejection of a removed class");
+  // A stricter effect: parts of `plain` may not be sent again, for queries from now on.
+  const int attempts = [&] {
     ask("g", "plain", "broken");
     answered("g", 503);
-    return seen("g");
+    return attemptsOf("g");
   }();
-  check(tries > 1, "a safe part is sent again");
+  check(attempts > 1, "a safe part was not sent again");
   next["settings"]["categories"][1]["effect"] = "unsafe";
   ask("h", "plain", "slow");
-  w.until([&] { return seen("h") == 1; }, "under way");
-  put(next);
+  bed.waitUntil([&] { return attemptsOf("h") == 1; }, "under way");
+  reload(next);
   ask("i", "plain", "broken");
   answered("i", 504);
-  check(seen("i") == 1, "an unsafe part was sent again");
+  check(attemptsOf("i") == 1, "an unsafe part was sent again");
   answered("h", 200);
-  // Keyed from now on: a client that was not told yet sends no key, and nothing of it is repeated.
+  // `plain` becomes keyed. A client with the old settings sends no key, and its parts are not sent again.
   next["settings"]["categories"][1]["effect"] = "keyed";
   next["settings"]["categories"][1]["dedupWindow"] = 5000.0;
-  put(next);
+  reload(next);
   ask("j", "plain", "broken");
-  w.until([&] { return status.contains("j"); }, "j");
-  check(seen("j") == 1, "without a key a part was sent again");
+  bed.waitUntil([&] { return status.contains("j"); }, "j");
+  check(attemptsOf("j") == 1, "without a key a part was sent again");
   ask("k", "plain", "broken", "K");
-  w.until([&] { return status.contains("k"); }, "k");
-  check(seen("k") > 1, "with a key it is sent again");
+  bed.waitUntil([&] { return status.contains("k"); }, "k");
+  check(attemptsOf("k") > 1, "with a key a part was not sent again");
   // Fewer attempts.
   next["settings"]["limits"]["maxAttempts"] = 1;
-  put(next);
+  reload(next);
   ask("l", "fresh", "broken");
   answered("l", 503);
-  check(seen("l") == 1, "an attempt too many");
+  check(attemptsOf("l") == 1, "more than one attempt");
   kill(p.pid, SIGTERM);
-  w.gone(p, 0);
+  bed.expectExit(p, 0);
   check(p.counter("defects") == 0 && p.counter("backstops") == 0, "defects");
-  check(p.counter("succeeded.fresh") == 1 && p.counter("succeeded.once") >= 2, "figures of classes");
+  check(p.counter("succeeded.fresh") == 1 && p.counter("succeeded.once") >= 2, "counters of the classes");
 }
 
-// Signals from before the configuration is read: none is lost, none ends the process in the system's way.
-void early() {
-  World w;
+// Signals before the configuration is read: none is lost, and none ends the process by the system's default
+// action. The configuration is a pipe, so that the process waits for it.
+void earlySignals() {
+  TestBed bed;
   const std::filesystem::path file = kFolder / "fifo";
   check(mkfifo(file.c_str(), 0600) == 0, "mkfifo");
   const int pipe = open(file.c_str(), O_RDWR | O_CLOEXEC);
-  const std::string told = [&] {
-    w.config["admin"] = local(freePort());
-    return w.config.dump();
+  const std::string configuration = [&] {
+    bed.config["admin"] = local(freePort());
+    return bed.config.dump();
   }();
   Process p;
   p.log = kFolder / "log";
@@ -755,7 +772,7 @@
   if (p.pid == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     dup2(log, 2);
-    dup2(w.listener, 3);
+    dup2(bed.listener, 3);
     setenv("BALANCER_FD", "3", 1);
     setenv("BALANCER_CONFIG", file.c_str(), 1);
     execl(MIXER_PROGRAM, MIXER_PROGRAM, nullptr);
@@ -768,21 +785,22 @@
       if (line.starts_with("SigCgt:")) return (std::stoull(line.substr(7), nullptr, 16) >> (signal - 1)) & 1;
     return 0ULL;
   };
-  w.until([&] { return caught(SIGHUP) && caught(SIGUSR1) && caught(SIGTERM); }, "signals are caught");
+  bed.waitUntil([&] { return caught(SIGHUP) && caught(SIGUSR1) && caught(SIGTERM); }, "signals are caught");
   for (const int signal : {SIGUSR1, SIGTERM, SIGTERM}) kill(p.pid, signal);
-  check(write(pipe, told.data(), told.size()) == ssize_t(told.size()), "write");
+  check(write(pipe, configuration.data(), configuration.size()) == ssize_t(configuration.size()), "write");
   close(pipe);
-  w.gone(p, 0);
-  check(readFile(p.log).find("n0: stopping") != std::string::npos, "an orderly end");
+  bed.expectExit(p, 0);
+  check(readFile(p.log).find("n0: stopping") != std::string::npos, "no orderly stop in the log");
 }
 
 }  // namespace
 
-int main(int count, char** names) {
-  const std::map<std::string, void (*)()> tests = {{"bad", bad},       {"admin", admin},   {"load", load},
-                                                   {"killed", killed}, {"twenty", twenty}, {"early", early},
-                                                   {"reload", reload}, {"retune", retune}};
-  assert(count == 2 && tests.contains(names[1]));
+int main(int count, char** arguments) {
+  const std::map<std::string, void (*)()> tests = {
+      {"bad", failedStarts},        {"admin", adminCalls},          {"load", replaceUnderLoad},
+      {"killed", newProcessKilled}, {"twenty", twentyReplacements}, {"early", earlySignals},
+      {"reload", rejectedReloads},  {"retune", changedSettings}};
+  assert(count == 2 && tests.contains(arguments[1]));
   std::signal(SIGPIPE, SIG_IGN);
-  tests.at(names[1])();
+  tests.at(arguments[1])();
 }
