--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -1,15 +1,14 @@
-// Plays one scenario against the program: starts it with scripted peers on loopback, then goes through the
-// lines. A name stands for a connection or a listener; text knows \r \n \\ and $NAME (a listener's address;
-// $SCENARIOS: this folder); a pattern is text in which * stands for anything. Nothing here is timed but
-// `wait`: what is expected may take its time.
+// Runs one scenario file: starts the mixer with scripted peers on loopback and executes the commands line by
+// line. NAME and C stand for listeners and connections. TEXT may contain \r \n \\ and $NAME (the address of a
+// listener; $SCENARIOS is the folder of the scenarios). PATTERN is text in which * matches any characters.
+// Only `wait` depends on time; `expect` waits up to 20 s.
 //
-//   leaf NAME CELL                   a listener that the list as last held names as a ready leaf server
-//   absent NAME CELL                 the same, but nothing listens there
-//   listen NAME                      a listener; D, discovery's, is always there
-//   start [PATH=JSON ...]            the program, with settings changed
-//   configure [PATH=JSON ...]        the configuration file again, with more settings changed
-//   connect C | accept C NAME        a client's connection | what has connected to the listener
-//   send C raw TEXT | http STATUS BODY | frame LETTER TEXT | query ID CLASS SECONDS SHARDS
+//   leaf NAME CELL                   opens a listener for a ready leaf server in the last known list
+//   (`known`) absent NAME CELL                 the same, but nothing listens at the address listen NAME opens
+//   a listener; D, for discovery, is always open start [PATH=JSON ...]            starts the mixer with
+//   changed settings configure [PATH=JSON ...]        changes further settings and writes the configuration
+//   file again connect C | accept C NAME        connects to the mixer as a client | accepts a connection at
+//   the listener send C raw TEXT | http STATUS BODY | frame LETTER TEXT | query ID CLASS SECONDS SHARDS
 //   expect C status CODE PATTERN | frame LETTER PATTERN | request PATTERN | end
 //   expect log PATTERN | exit CODE
 //   close C | reset C | wait MS | signal NAME
@@ -40,12 +39,12 @@
 using Json = nlohmann::json;
 
 #ifdef NDEBUG
-#error "a scenario without asserts can't fail"
+#error "scenarios need assert(): build without NDEBUG"
 #endif
 
 namespace {
 
-std::string where;  // file and line, for what fails
+std::string where;  // file and line of the current command, for failures
 void check(bool good, const std::string& what) {
   if (!good) std::fprintf(stderr, "%s: %s\n", where.c_str(), what.c_str());
   assert(good);
@@ -96,7 +95,7 @@
   out.sin_port = htons(std::uint16_t(std::stoi(text.substr(colon + 1))));
   return out;
 }
-// A loopback address of this process's own, so that scenarios can run side by side.
+// Binds to a loopback address that depends on the process id, so that scenarios can run in parallel.
 std::string openListener(const std::string& name, bool listening) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int pid = getpid();
@@ -116,10 +115,10 @@
   check(peers.contains(name), "no connection " + name);
   return peers[name];
 }
-// Appends what comes; false at the end of the stream.
+// Appends received bytes to p.in; returns false at the end of the stream.
 bool readMore(Peer& p) {
   pollfd one{p.fd, POLLIN, 0};
-  check(poll(&one, 1, 20'000) == 1, "nothing came");
+  check(poll(&one, 1, 20'000) == 1, "nothing received within 20 s");
   char buffer[8192];
   const ssize_t n = read(p.fd, buffer, sizeof buffer);
   if (n <= 0) return false;
@@ -133,7 +132,7 @@
     p.in.erase(0, p.in.size() - in.size());
     check(state != HttpParser::State::bad, "malformed HTTP");
     if (state == HttpParser::State::done) return parser.take();
-    check(readMore(p), "the connection ended before a whole message");
+    check(readMore(p), "the connection ended before a complete message");
   }
 }
 Frame readFrame(Peer& p) {
@@ -144,7 +143,7 @@
     const FrameReader::State state = p.frames.next(frame);
     check(state != FrameReader::State::bad, "malformed frame");
     if (state == FrameReader::State::frame) return frame;
-    check(readMore(p), "the connection ended before a whole frame");
+    check(readMore(p), "the connection ended before a complete frame");
   }
 }
 
@@ -181,7 +180,7 @@
   check(pipe2(pipes, O_CLOEXEC) == 0, "pipe");
   program = fork();
   if (program == 0) {
-    prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed scenario leaves nothing running
+    prctl(PR_SET_PDEATHSIG, SIGKILL);  // the mixer ends when a failed scenario ends
     dup2(pipes[1], 2);
     setenv("BALANCER_CONFIG", configFile.c_str(), 1);
     execl(SCENARIO_PROGRAM, SCENARIO_PROGRAM, nullptr);
@@ -192,7 +191,7 @@
 }
 void connectClient(const std::string& name) {
   const sockaddr_in to = socketAddress(mixerAddress);
-  for (int tries = 0; tries < 1000; ++tries) {  // until it listens
+  for (int tries = 0; tries < 1000; ++tries) {  // until the mixer listens
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) {
       peers[name] = Peer{};
@@ -202,12 +201,13 @@
     close(fd);
     usleep(20'000);
   }
-  check(false, "the program does not listen");
+  check(false, "the mixer does not listen");
 }
 void sendText(Peer& p, const std::string& text) {
   check(send(p.fd, text.data(), text.size(), MSG_NOSIGNAL) == ssize_t(text.size()), "send");
 }
-// `0,3` as shards; a class named `keyed` carries the key K-ID.
+// The arguments ID CLASS SECONDS SHARDS as a query; SHARDS is a list such as `0,3`. A query of the class
+// `keyed` has the idempotency key K-ID.
 std::string queryText(std::istringstream& words) {
   std::string id, cls, seconds, shards, one;
   words >> id >> cls >> seconds >> shards;
@@ -221,7 +221,7 @@
   if (cls == "keyed") out += "Idempotency-Key: K-" + id + "\r\n";
   return out + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-std::string rest(std::istringstream& words) {
+std::string restOfLine(std::istringstream& words) {
   std::string out;
   std::getline(words >> std::ws, out);
   return unescape(out);
@@ -237,73 +237,73 @@
 }
 void expectExit(int status) {
   for (int tries = 0; tries < 1000 && program > 0; ++tries) {
-    int how = 0;
-    if (waitpid(program, &how, WNOHANG) == program) {
+    int waitStatus = 0;
+    if (waitpid(program, &waitStatus, WNOHANG) == program) {
       program = -1;
-      exitStatus = WIFEXITED(how) ? WEXITSTATUS(how) : 128 + WTERMSIG(how);
+      exitStatus = WIFEXITED(waitStatus) ? WEXITSTATUS(waitStatus) : 128 + WTERMSIG(waitStatus);
     }
     usleep(20'000);
   }
-  check(exitStatus == status, "exit status " + std::to_string(exitStatus));
+  check(exitStatus == status, "unexpected exit status " + std::to_string(exitStatus));
 }
 
-void play(const std::string& line) {
+void runCommand(const std::string& line) {
   std::istringstream words(line);
-  std::string verb, name, what;
-  if (!(words >> verb) || verb[0] == '#') return;
-  if (verb == "start") return start(words);
-  if (verb == "configure") return configure(words);
+  std::string command, name, what;
+  if (!(words >> command) || command[0] == '#') return;
+  if (command == "start") return start(words);
+  if (command == "configure") return configure(words);
   words >> name;
-  if (verb == "wait") {
+  if (command == "wait") {
     usleep(useconds_t(std::stoi(name)) * 1000);
-  } else if (verb == "listen") {
+  } else if (command == "listen") {
     openListener(name, true);
-  } else if (verb == "leaf" || verb == "absent") {
+  } else if (command == "leaf" || command == "absent") {
     int cell = 0;
     words >> cell;
-    const std::string at = openListener(name, verb == "leaf");
+    const std::string at = openListener(name, command == "leaf");
     endpoints.push_back({{"name", name},
                          {"address", at},
                          {"zone", "a"},
                          {"group", cell},
                          {"status", "Ready"},
                          {"since_ms", 0}});
-  } else if (verb == "connect") {
+  } else if (command == "connect") {
     connectClient(name);
-  } else if (verb == "accept") {
+  } else if (command == "accept") {
     words >> what;
     pollfd one{peer(what).fd, POLLIN, 0};
     check(poll(&one, 1, 20'000) == 1, "nobody connected to " + what);
     const int fd = accept4(peer(what).fd, nullptr, nullptr, SOCK_CLOEXEC);
     peers[name] = Peer{};
     peers[name].fd = fd;
-  } else if (verb == "signal") {
+  } else if (command == "signal") {
     kill(program, name == "TERM" ? SIGTERM : name == "HUP" ? SIGHUP : SIGUSR1);
-  } else if (verb == "close" || verb == "reset") {
-    const linger now{1, 0};
-    if (verb == "reset") setsockopt(peer(name).fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  } else if (command == "close" || command == "reset") {
+    const linger abortive{1, 0};  // close() resets the connection
+    if (command == "reset") setsockopt(peer(name).fd, SOL_SOCKET, SO_LINGER, &abortive, sizeof abortive);
     close(peer(name).fd);
     peers.erase(name);
-  } else if (verb == "send") {
+  } else if (command == "send") {
     words >> what;
     std::string head;
-    if (what == "raw") return sendText(peer(name), rest(words));
+    if (what == "raw") return sendText(peer(name), restOfLine(words));
     if (what == "query") return sendText(peer(name), queryText(words));
     words >> head;
-    if (what == "frame") return sendText(peer(name), writeFrame(head[0], rest(words)));
-    check(what == "http", "unknown: " + line);
-    sendText(peer(name), writeResponse(std::stoi(head), "", rest(words), false));
-  } else if (verb == "expect" && name == "log") {
-    expectLog(rest(words));
-  } else if (verb == "expect" && name == "exit") {
-    expectExit(std::stoi(rest(words)));
+    if (what == "frame") return sendText(peer(name), writeFrame(head[0], restOfLine(words)));
+    check(what == "http", "unknown command: " + line);
+    sendText(peer(name), writeResponse(std::stoi(head), "", restOfLine(words), false));
+  } else if (command == "expect" && name == "log") {
+    expectLog(restOfLine(words));
+  } else if (command == "expect" && name == "exit") {
+    expectExit(std::stoi(restOfLine(words)));
   } else {
-    check(verb == "expect", "unknown: " + line);
+    check(command == "expect", "unknown command: " + line);
     Peer& p = peer(name);
     std::string head, got;
     words >> what;
     if (what == "end") {
-      check(p.in.empty() && !readMore(p), "no end, but: " + p.in);
+      check(p.in.empty() && !readMore(p), "expected the connection to end, received: " + p.in);
       return;
     }
     if (what != "request") words >> head;
@@ -314,34 +314,34 @@
       const HttpMessage m = readHttp(p, p.requests);
       got = m.method + " " + m.target;
     } else {
-      check(what == "status", "unknown: " + line);
+      check(what == "status", "unknown command: " + line);
       const HttpMessage m = readHttp(p, p.responses);
       got = std::to_string(m.status) + " ";
       for (const auto& [header, value] : m.headers) got += header + ": " + value + "; ";
       got += m.body;
     }
-    const std::string pattern = (head.empty() ? "" : head + " ") + rest(words);
+    const std::string pattern = (head.empty() ? "" : head + " ") + restOfLine(words);
     check(matches(pattern.c_str(), got.c_str()), "expected " + pattern + "\n  got " + got);
   }
 }
 
 }  // namespace
 
-int main(int count, char** names) {
+int main(int count, char** arguments) {
   assert(count == 2);
   std::signal(SIGPIPE, SIG_IGN);
-  std::ifstream file(names[1]);
+  std::ifstream file(arguments[1]);
   std::string line;
-  int at = 0;
+  int lineNumber = 0;
   openListener("D", true);
-  const std::string path = names[1];
+  const std::string path = arguments[1];
   addresses["SCENARIOS"] = path.substr(0, path.rfind('/'));
   while (std::getline(file, line)) {
-    where = std::string(names[1]) + ":" + std::to_string(++at);
-    play(line);
+    where = std::string(arguments[1]) + ":" + std::to_string(++lineNumber);
+    runCommand(line);
   }
-  check(at > 0, "no scenario");
-  if (program > 0) {  // every scenario ends with an orderly stop, and none with a defect
+  check(lineNumber > 0, "the scenario file is missing or empty");
+  if (program > 0) {  // after every scenario the mixer stops in order and has counted no defect
     kill(program, SIGTERM);
     expectLog("counter backstops 0");
     expectLog("counter defects 0");
