--- a/src/front/http/clients.cpp
+++ b/src/front/http/clients.cpp
@@ -195,6 +195,7 @@
   return writeResponse(200, "", body.dump(-1, ' ', false, Json::error_handler_t::replace), close);
 }
 
+// The read loop of one connection; it pauses when the input buffer is full.
 struct Clients::Reader : boost::asio::coroutine {
   Clients* clients;
   std::shared_ptr<Connection> c;
@@ -214,6 +215,7 @@
   }
 };
 
+// The accept loop.
 struct Clients::Acceptor : boost::asio::coroutine {
   Clients* clients;
   std::shared_ptr<tcp::socket> socket;
@@ -276,28 +278,28 @@
 void Clients::adoptListener(int descriptor, const Address& address) {
   const std::string subject = "descriptor " + std::to_string(descriptor) + " ";
   const std::string expected = ", expected a TCP socket that listens on " + asText(address);
-  const auto option = [descriptor](int name) {
+  const auto socketOption = [descriptor](int name) {
     int value = 0;
     socklen_t size = sizeof value;
     return getsockopt(descriptor, SOL_SOCKET, name, &value, &size) == 0 ? value : -1;
   };
-  const int domain = option(SO_DOMAIN);
+  const int domain = socketOption(SO_DOMAIN);
   if (domain < 0) throw BadConfig(subject + "is no socket" + expected);
-  if ((domain != AF_INET && domain != AF_INET6) || option(SO_TYPE) != SOCK_STREAM)
+  if ((domain != AF_INET && domain != AF_INET6) || socketOption(SO_TYPE) != SOCK_STREAM)
     throw BadConfig(subject + "is another kind of socket" + expected);
-  if (option(SO_ACCEPTCONN) != 1) throw BadConfig(subject + "does not listen" + expected);
-  const tcp::endpoint at(boost::asio::ip::make_address(address.host), address.port);
+  if (socketOption(SO_ACCEPTCONN) != 1) throw BadConfig(subject + "does not listen" + expected);
+  const tcp::endpoint configured(boost::asio::ip::make_address(address.host), address.port);
   tcp::endpoint bound;
   socklen_t size = socklen_t(bound.capacity());
   if (getsockname(descriptor, bound.data(), &size) != 0)
     throw BadConfig(subject + "has no address" + expected);
   bound.resize(size);
-  if (bound != at)
+  if (bound != configured)
     throw BadConfig(subject + "listens on " + bound.address().to_string() + ":" +
                     std::to_string(bound.port()) + expected);
   fcntl(descriptor, F_SETFD, FD_CLOEXEC);
   sharedListener_ = true;
-  acceptor_.assign(at.protocol(), descriptor);
+  acceptor_.assign(configured.protocol(), descriptor);
   acceptor_.non_blocking(true);  // the flag is shared with the other processes that hold the socket
   Acceptor{this}();
 }
@@ -388,6 +390,7 @@
   return false;
 }
 
+// If too many connections are idle after a query, closes the one that has been idle longest.
 void Clients::trimIdleConnections() {
   int idleCount = 0;
   Connection* oldest = nullptr;
@@ -455,8 +458,8 @@
 }
 
 void Clients::onReceived(Connection& c, std::size_t bytes) {
-  if (c.closing)
-    return;  // after the last response, input is discarded; if left unread it would cause a reset
+  // After the last response, input is read and discarded: left unread, it would cause a reset.
+  if (c.closing) return;
   const bool first = !c.parser.begun() && c.input.empty();
   if (first) c.requestStartedAt = loop_.now();
   if (first && c.hasRequested) c.requestDueAt = loop_.now() + kRequestTimeout;
@@ -501,7 +504,7 @@
   c.awaitingAnswer = true;
   loop_.deadlines.drop(c.deadline);
   if (parsed.status == 0) {
-    const bool taken = mixer_.submit(
+    const bool accepted = mixer_.submit(
         std::move(parsed.query),
         [this, h = c.self](const FinalAnswer& answer) {
           Connection* to = connections_.get(h);
@@ -510,7 +513,7 @@
           respond(*to, writeAnswer(answer, !to->keepAlive));
         },
         c.query);
-    if (taken) return;
+    if (accepted) return;
     parsed = {400, "X-Request-ID is in use", {}};
   }
   counters_.add(Count::badRequests);
@@ -541,10 +544,10 @@
 void Clients::resumeInput(Connection& c) {
   if (c.closed || c.closing || c.input.empty()) return;
   boost::asio::post(loop_.strand, [this, h = c.self] {
-    const std::shared_ptr<Connection> next = connections_.share(h);  // processing may end the connection
-    if (!next) return;
-    processInput(*next);
-    startReading(*next);
+    const std::shared_ptr<Connection> shared = connections_.share(h);  // processing may end the connection
+    if (!shared) return;
+    processInput(*shared);
+    startReading(*shared);
   });
 }
 
@@ -557,11 +560,11 @@
     if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) {
       c.writing = true;
       c.socket.async_wait(tcp::socket::wait_write, [this, h = c.self](const error_code&) {
-        const std::shared_ptr<Connection> again = connections_.share(h);
-        if (!again) return;
-        again->writing = false;
-        flush(*again);
-        if (again->output.empty()) resumeInput(*again);
+        const std::shared_ptr<Connection> writable = connections_.share(h);
+        if (!writable) return;
+        writable->writing = false;
+        flush(*writable);
+        if (writable->output.empty()) resumeInput(*writable);
       });
       break;
     }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -41,7 +41,8 @@
 constexpr int kMinAdminConnections = 4, kMaxAdminConnections = 16, kAdminConnectionsDivisor = 16;
 // After SIGTERM, new connections still arrive for a while, so the program stays up for at least kMinDrainTime
 // even if it is idle. The platform sends SIGKILL kMinDrainTime after the longest deadline, of which it counts
-// kMaxDrainDeadline at most. Queries accepted during the drain get their answer kKillMargin before that.
+// kMaxDrainDeadline at most. Queries accepted during the drain get their answer at least kKillMargin before
+// that.
 constexpr Micros kMinDrainTime = 700'000, kDrainCheckInterval = 20'000, kMaxDrainDeadline = 3'000'000,
                  kKillMargin = 150'000;
 
@@ -166,7 +167,7 @@
   const int sockets = descriptorLimit(config.sockets) / (inherited ? 2 : 1);
   const int leafDescriptors = std::min(kLeafDescriptors, sockets / 3);
   auto links = std::make_unique<Links>(linkLimits(config.host, config.settings, leafDescriptors), &counters);
-  Links& frames = *links;
+  Links& frameLinks = *links;
   LeafSockets leaves(loop, std::move(links));
   std::optional<Grpc> grpc;
   if (!config.grpcFile.empty()) grpc.emplace(loop, counters, config, leaves, leafDescriptors);
@@ -195,8 +196,7 @@
   AdminServer admin(
       loop, std::clamp(sockets / kAdminConnectionsDivisor, kMinAdminConnections, kMaxAdminConnections),
       [&](const std::string& call) { return answerCall(call, processStatus(), counters); });
-  // The listener for HTTP clients opens last, when nothing can prevent the start any more: a client that can
-  // connect is served.
+  // The listener for HTTP clients opens last, so that every client that can connect is served.
   if (adminListen) listenOn(admin, *adminListen);
   if (grpc) grpc->listen(loop, counters, mixer, config.host);
   if (inherited)
@@ -217,7 +217,7 @@
       try {
         Config next = readReload(path, config);
         mixer.retune(next.settings, next.host, retainedClasses);
-        frames.limit(linkLimits(next.host, next.settings, leafDescriptors));
+        frameLinks.limit(linkLimits(next.host, next.settings, leafDescriptors));
         discovery.moveTo(next.discovery, next.host.zones);
         counters.add(Count::reloads);
         logLine("%s: reloaded, discovery at %s, %d classes", config.name.c_str(),
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -205,6 +205,7 @@
     loop.io.restart();
     loop.io.run_for(std::chrono::microseconds(span));
   }
+  // Runs the event loop until done() returns true; fails after 30 s.
   void waitUntil(const std::function<bool()>& done, const std::string& what) {
     for (const Micros end = loop.now() + 30'000 * kMs; !done();) {
       check(loop.now() < end, "time-out waiting for: " + what);
@@ -233,8 +234,8 @@
     bool waiting = false;
   };
   std::vector<Client> clients;
-  std::map<std::string, std::map<int, int>>
-      answers;  // by class and status; status 0: the connection ended without an answer
+  // By class and status; status 0: the connection ended without an answer.
+  std::map<std::string, std::map<int, int>> answers;
   int sent = 0, answered = 0;
   bool running = true;
   bool connectEachTime = false;  // each request on a new connection
@@ -261,13 +262,15 @@
       c.waiting = false;
     });
   }
+  // Runs the load until done() returns true; `what` is for the failure text.
   void runUntil(const std::function<bool()>& done, const std::string& what) {
     testBed.waitUntil([&] { return step(), done(); }, what);
   }
-  void awaitAnswers(int more) {
-    const int target = answered + more;
+  void awaitAnswers(int number) {
+    const int target = answered + number;
     runUntil([&] { return answered >= target; }, "more answers");
   }
+  // Sends no more queries and waits for the answers to those sent.
   void finish() {
     running = false;
     testBed.waitUntil([&] { return answered == sent; }, "the last answers");
