--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -3,12 +3,14 @@
 // listener; $SCENARIOS is the folder of the scenarios). PATTERN is text in which * matches any characters.
 // Only `wait` depends on time; `expect` waits up to 20 s.
 //
-//   leaf NAME CELL                   opens a listener for a ready leaf server in the last known list
-//   (`known`) absent NAME CELL                 the same, but nothing listens at the address listen NAME opens
-//   a listener; D, for discovery, is always open start [PATH=JSON ...]            starts the mixer with
-//   changed settings configure [PATH=JSON ...]        changes further settings and writes the configuration
-//   file again connect C | accept C NAME        connects to the mixer as a client | accepts a connection at
-//   the listener send C raw TEXT | http STATUS BODY | frame LETTER TEXT | query ID CLASS SECONDS SHARDS
+//   leaf NAME CELL             opens a listener for a ready leaf server of the last known list (`known`)
+//   absent NAME CELL           the same, but nothing listens at the address
+//   listen NAME                opens a listener; D, for discovery, is always open
+//   start [PATH=JSON ...]      starts the mixer with changed settings
+//   configure [PATH=JSON ...]  changes further settings and writes the configuration file again
+//   connect C                  connects to the mixer as a client
+//   accept C NAME              accepts a connection at the listener
+//   send C raw TEXT | http STATUS BODY | frame LETTER TEXT | query ID CLASS SECONDS SHARDS
 //   expect C status CODE PATTERN | frame LETTER PATTERN | request PATTERN | end
 //   expect log PATTERN | exit CODE
 //   close C | reset C | wait MS | signal NAME
