--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -168,7 +168,7 @@
   const std::string seed = need(body, "seed").get<std::string>();
   const char* end = seed.data() + seed.size();
   if (seed.empty() || std::from_chars(seed.data(), end, out.seed, 16).ptr != end)
-    throw BadConfig("'seed' is not a hexadecimal number of up to 64 bits");
+    throw BadConfig("'seed' is not a hexadecimal number");
   out.grpcFile = body.value("grpc", "");
   out.plansFile = body.value("plans", "");
   if (body.contains("limits")) out.sockets = body["limits"].value("sockets", out.sockets);
