--- a/src/check/explore.cpp
+++ b/src/check/explore.cpp
@@ -24,49 +24,51 @@
   auto operator<=>(const Hash&) const = default;
 };
 
-Hash hashOf(const World& world) {
-  const std::string bytes = world.digest();
+Hash hashState(const Model& model) {
+  const std::string bytes = model.digest();
   const XXH128_hash_t h = XXH3_128bits(bytes.data(), bytes.size());
-  return {h.low64 | 1, h.high64};  // no state is 0, which marks a free place
+  return {h.low64 | 1, h.high64};  // `low` is never 0: that marks a free table entry
 }
 
-// What leads from one state to the next. A turn of the module is one: its actions are taken in one go, and
-// what lies between them is no state of its own.
-constexpr std::size_t kMoveMost = 6;
-struct Move {
-  std::array<Step, kMoveMost> steps{};
+// Leads from one state to the next. A turn of the decision module is a single transition: the situations
+// between its actions are not states.
+constexpr std::size_t kMaxTransitionSteps = 6;
+struct Transition {
+  std::array<Step, kMaxTransitionSteps> steps{};
   std::uint8_t size = 0;
-  auto operator<=>(const Move&) const = default;
+  auto operator<=>(const Transition&) const = default;
 };
 
-// Where a state was first met: its parent and the move from there. Of several at the same depth the least
-// counts, so that the trace does not hang on which thread came first.
+// How a state was first reached: its parent and the transition from there. Among several ways of the same
+// depth the smallest in order is recorded, so that the trace does not depend on the scheduling of the
+// threads.
 struct Entry {
   Hash self;
-  std::uint64_t parent = 0;  // the parent's hash, its low half
+  std::uint64_t parent = 0;  // low half of the parent's hash
   std::uint32_t depth = 0;
-  Move move;
+  Transition transition;
 };
 
-class Seen {
+class VisitedStates {
  public:
   // True if the state is new.
   bool add(const Entry& entry) {
     Shard& shard = shards_[entry.self.high % kShards];
     const std::lock_guard lock(shard.mutex);
     if ((shard.used + 1) * 4 > shard.table.size() * 3) shard.grow();
-    Entry& place = shard.find(entry.self);
-    if (place.self.low != 0) {
-      if (std::tie(entry.depth, entry.parent, entry.move) < std::tie(place.depth, place.parent, place.move))
-        place = entry;
+    Entry& existing = shard.find(entry.self);
+    if (existing.self.low != 0) {
+      if (std::tie(entry.depth, entry.parent, entry.transition) <
+          std::tie(existing.depth, existing.parent, existing.transition))
+        existing = entry;
       return false;
     }
-    place = entry;
+    existing = entry;
     ++shard.used;
     return true;
   }
-  // By the half of its hash that entries name their parents by.
-  std::optional<Entry> byLow(std::uint64_t low) const {
+  // Finds an entry by the low half of its hash, as stored in Entry::parent.
+  std::optional<Entry> findByLowHash(std::uint64_t low) const {
     for (const Shard& shard : shards_)
       for (const Entry& e : shard.table)
         if (e.self.low == low) return e;
@@ -85,9 +87,9 @@
     std::vector<Entry> table = std::vector<Entry>(64);
     std::size_t used = 0;
     Entry& find(const Hash& h) {
-      std::size_t at = h.low % table.size();
-      while (table[at].self.low != 0 && table[at].self != h) at = (at + 1) % table.size();
-      return table[at];
+      std::size_t index = h.low % table.size();
+      while (table[index].self.low != 0 && table[index].self != h) index = (index + 1) % table.size();
+      return table[index];
     }
     void grow() {
       std::vector<Entry> old(table.size() * 2);
@@ -106,49 +108,49 @@
 }
 
 struct Node {
-  std::unique_ptr<World> world;
+  std::unique_ptr<Model> model;
   std::uint64_t hash = 0;
 };
-struct Found {
+struct FoundViolation {
   std::uint64_t parent = 0;
-  Move move;
-  World::Broken broken;
-  bool operator<(const Found& other) const {
-    return std::tie(parent, move) < std::tie(other.parent, other.move);
+  Transition transition;
+  Model::Violation violation;
+  bool operator<(const FoundViolation& other) const {
+    return std::tie(parent, transition) < std::tie(other.parent, other.transition);
   }
 };
 struct Worker {
   std::vector<Node> next;
   std::uint64_t transitions = 0;
-  std::optional<Found> found;
-  Seen* seen = nullptr;
+  std::optional<FoundViolation> found;
+  VisitedStates* visited = nullptr;
   int depth = 0;
 
-  // All moves from a state, or from amid a turn.
-  void follow(const World& from, std::uint64_t parent, const Move& before) {
-    for (const Step step : from.steps()) {
-      auto world = std::make_unique<World>(from);
-      Move move = before;
-      move.steps[move.size++] = step;
-      world->take(step);
+  // Explores all transitions from a state. Calls itself for the steps within a turn.
+  void exploreFrom(const Model& from, std::uint64_t parent, const Transition& prefix) {
+    for (const Step step : from.enabledSteps()) {
+      auto model = std::make_unique<Model>(from);
+      Transition transition = prefix;
+      transition.steps[transition.size++] = step;
+      model->apply(step);
       ++transitions;
-      if (world->broken()) {
-        Found here{parent, move, *world->broken()};
+      if (model->violation()) {
+        FoundViolation here{parent, transition, *model->violation()};
         if (!found || here < *found) found = std::move(here);
-      } else if (world->acting() && move.size < kMoveMost) {
-        follow(*world, parent, move);
+      } else if (model->inTurn() && transition.size < kMaxTransitionSteps) {
+        exploreFrom(*model, parent, transition);
       } else {
-        const Hash hash = hashOf(*world);
-        if (seen->add({hash, parent, std::uint32_t(depth), move}))
-          next.push_back({std::move(world), hash.low});
+        const Hash hash = hashState(*model);
+        if (visited->add({hash, parent, std::uint32_t(depth), transition}))
+          next.push_back({std::move(model), hash.low});
       }
     }
   }
-  // One level: every state of the frontier, all that may follow.
-  void expand(std::vector<Node>& frontier, std::atomic<std::size_t>& at) {
-    for (std::size_t k; (k = at++) < frontier.size();) {
-      follow(*frontier[k].world, frontier[k].hash, {});
-      frontier[k].world.reset();
+  // Explores one level: takes states from the frontier, which all workers share, until none is left.
+  void expand(std::vector<Node>& frontier, std::atomic<std::size_t>& nextIndex) {
+    for (std::size_t k; (k = nextIndex++) < frontier.size();) {
+      exploreFrom(*frontier[k].model, frontier[k].hash, {});
+      frontier[k].model.reset();
     }
   }
 };
@@ -158,48 +160,49 @@
 Result explore(const Scope& scope, const Limits& limits, const Progress& progress) {
   const auto began = std::chrono::steady_clock::now();
   Result result;
-  Seen seen;
+  VisitedStates visited;
   std::vector<Node> frontier;
-  frontier.push_back({std::make_unique<World>(scope), 0});
-  const Hash first = hashOf(*frontier[0].world);
-  frontier[0].hash = first.low;
-  seen.add({first, 0, 0, {}});
-  while (!frontier.empty() && !result.found) {
-    if (result.depth >= limits.depth || seen.size() >= limits.states || residentMb() >= limits.memoryMb)
+  frontier.push_back({std::make_unique<Model>(scope), 0});
+  const Hash initial = hashState(*frontier[0].model);
+  frontier[0].hash = initial.low;
+  visited.add({initial, 0, 0, {}});
+  while (!frontier.empty() && !result.counterexample) {
+    if (result.depth >= limits.depth || visited.size() >= limits.states || residentMb() >= limits.memoryMb)
       break;
     ++result.depth;
-    std::atomic<std::size_t> at = 0;
+    std::atomic<std::size_t> nextIndex = 0;
     std::vector<Worker> workers(std::size_t(std::max(1, limits.threads)));
     std::vector<std::thread> threads;
     for (Worker& w : workers) {
-      w.seen = &seen;
+      w.visited = &visited;
       w.depth = result.depth;
-      threads.emplace_back([&] { w.expand(frontier, at); });
+      threads.emplace_back([&] { w.expand(frontier, nextIndex); });
     }
     for (std::thread& t : threads) t.join();
     frontier.clear();
-    std::optional<Found> least;
+    std::optional<FoundViolation> smallest;
     for (Worker& w : workers) {
       result.transitions += w.transitions;
-      if (w.found && (!least || *w.found < *least)) least = w.found;
+      if (w.found && (!smallest || *w.found < *smallest)) smallest = w.found;
       std::move(w.next.begin(), w.next.end(), std::back_inserter(frontier));
     }
-    if (least) {
-      std::vector<Move> moves{least->move};
-      for (std::uint64_t low = least->parent; low != first.low;) {
-        const Entry entry = *seen.byLow(low);
-        moves.push_back(entry.move);
+    if (smallest) {
+      std::vector<Transition> path{smallest->transition};
+      for (std::uint64_t low = smallest->parent; low != initial.low;) {
+        const Entry entry = *visited.findByLowHash(low);
+        path.push_back(entry.transition);
         low = entry.parent;
       }
-      Counterexample found{least->broken.property, least->broken.what, {}};
-      std::ranges::reverse(moves);
-      for (const Move& move : moves)
-        found.steps.insert(found.steps.end(), move.steps.begin(), move.steps.begin() + move.size);
-      result.found = std::move(found);
+      Counterexample counterexample{smallest->violation.property, smallest->violation.what, {}};
+      std::ranges::reverse(path);
+      for (const Transition& transition : path)
+        counterexample.steps.insert(counterexample.steps.end(), transition.steps.begin(),
+                                    transition.steps.begin() + transition.size);
+      result.counterexample = std::move(counterexample);
     }
-    if (progress) progress(result.depth, frontier.size(), seen.size());
+    if (progress) progress(result.depth, frontier.size(), visited.size());
   }
-  result.states = seen.size();
+  result.states = visited.size();
   result.complete = frontier.empty();
   result.memoryMb = residentMb();
   result.seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
@@ -210,21 +213,23 @@
   const auto began = std::chrono::steady_clock::now();
   Result result;
   boost::random::mt19937_64 random(seed);
-  const World start(scope);
-  while (result.transitions < steps && !result.found) {
-    World world(start);
-    ++result.states;  // here: walks
+  const Model start(scope);
+  while (result.transitions < steps && !result.counterexample) {
+    Model model(start);
+    ++result.states;  // counts the walks
     std::vector<Step> taken;
     for (;;) {
-      const std::vector<Step> may = world.steps();
-      if (may.empty() || result.transitions >= steps) break;
-      const Step step = may[boost::random::uniform_int_distribution<std::size_t>(0, may.size() - 1)(random)];
+      const std::vector<Step> enabled = model.enabledSteps();
+      if (enabled.empty() || result.transitions >= steps) break;
+      const Step step =
+          enabled[boost::random::uniform_int_distribution<std::size_t>(0, enabled.size() - 1)(random)];
       taken.push_back(step);
-      world.take(step);
+      model.apply(step);
       ++result.transitions;
       result.depth = std::max(result.depth, int(taken.size()));
-      if (!world.broken()) continue;
-      result.found = Counterexample{world.broken()->property, world.broken()->what, std::move(taken)};
+      if (!model.violation()) continue;
+      result.counterexample =
+          Counterexample{model.violation()->property, model.violation()->what, std::move(taken)};
       break;
     }
   }
@@ -233,25 +238,25 @@
   return result;
 }
 
-std::string trace(const Scope& scope, const Counterexample& found) {
+std::string trace(const Scope& scope, const Counterexample& counterexample) {
   std::string out;
-  World world(scope);
-  int at = 0;
-  for (const Step step : found.steps) {
-    out += std::to_string(++at) + ". " + world.name(step) + "\n";
-    world.take(step);
+  Model model(scope);
+  int number = 0;
+  for (const Step step : counterexample.steps) {
+    out += std::to_string(++number) + ". " + model.describe(step) + "\n";
+    model.apply(step);
   }
-  return out + "broken: " + found.property + ": " + found.what + "\n";
+  return out + "broken: " + counterexample.property + ": " + counterexample.what + "\n";
 }
 
-std::string scenario(const Scope& scope, const Counterexample& found) {
-  std::string out = "# From the checker: " + found.property + ", " + found.what + ".\n";
-  World world(scope);
+std::string scenario(const Scope& scope, const Counterexample& counterexample) {
+  std::string out = "# From the checker: " + counterexample.property + ", " + counterexample.what + ".\n";
+  Model model(scope);
   for (int k = 0; k < scope.servers; ++k) out += "leaf s" + std::to_string(k) + " 0\n";
   out += "start\n";
-  for (const Step step : found.steps) {
-    out += world.scenario(step) + "\n";
-    world.take(step);
+  for (const Step step : counterexample.steps) {
+    out += model.scenarioLine(step) + "\n";
+    model.apply(step);
   }
   return out;
 }
--- a/src/check/plant.cpp
+++ b/src/check/plant.cpp
@@ -1,3 +1,4 @@
+// The switch that enables an injected fault, for the code that is compiled for the checker.
 #include "core/plant.hpp"
 
 namespace cometdeal::net {
--- a/src/check/world.cpp
+++ b/src/check/world.cpp
@@ -10,7 +10,7 @@
 
 using namespace net;
 
-constexpr Micros kTick = 300'000;  // above the least of all limits that the links keep to
+constexpr Micros kTick = 300'000;  // longer than the shortest time limit of the links
 constexpr Micros kStart = 1'000'000'000;
 constexpr std::uint16_t kPort = 4000;
 
@@ -31,10 +31,10 @@
 
 LinkLimits limits(const Scope& scope) {
   LinkLimits out;
-  out.spreadAfter = 0;  // a count that decays would make states of one differ
+  out.spreadAfter = 0;  // off, because a decaying counter would make equivalent states differ
   out.connectTimeout = kTick;
   out.frameTime = kTick;
-  out.silentLeast = out.silentMost = kTick;  // so that no smoothed time is part of the state
+  out.silentLeast = out.silentMost = kTick;  // fixed, so that no smoothed time is part of the state
   out.streams = scope.parts * scope.queries;
   out.linksMost = scope.servers * scope.linksPerServer;
   out.pastMost = 4;
@@ -45,7 +45,7 @@
   return writeFrame('O', part + " " + end + " 7 -\nvalue of " + part);
 }
 
-// Half of the first phase is enough to go on from, and to answer where the second comes to nothing.
+// Half of the first phase is enough to start the second phase, and to answer if the second phase fails.
 std::shared_ptr<const phases::Plan> plan() {
   static const auto out = [] {
     auto made = std::make_shared<phases::Plan>();
@@ -58,88 +58,89 @@
   return out;
 }
 
-// A query's number from a part's id, "q1.0" or "q1.0.fetch".
+// Extracts the number of the query from the id of a part, as in "q1.0" or "q1.0.fetch".
 int queryOf(const std::string& part) { return part[1] - '0'; }
 
 }  // namespace
 
-// The leaf side, as the ledger sees it: the links, with a note of what they were given. As with sockets, what
-// a call brings about is carried out before the next command.
-struct World::Side {
-  World& w;
+// Forwards commands to the links and records which attempts they were given. As in production, the effects of
+// a command are processed before the next command.
+struct Model::LeafSideAdapter {
+  Model& model;
   void send(const std::string& server, std::vector<Call> calls) {
-    for (const Call& call : calls) w.trips_[number(call.attempt)] = {call.id, false, false};
-    w.links_.send(server, std::move(calls));
-    w.pump();
+    for (const Call& call : calls) model.attempts_[number(call.attempt)] = {call.id, false, false};
+    model.links_.send(server, std::move(calls));
+    model.processEffects();
   }
   void giveUp(Handle attempt) {
-    w.trips_.erase(number(attempt));
-    w.links_.giveUp(attempt);
-    w.pump();
+    model.attempts_.erase(number(attempt));
+    model.links_.giveUp(attempt);
+    model.processEffects();
   }
   void withdraw(Handle attempt) {
-    w.links_.withdraw(attempt);
-    w.pump();
+    model.links_.withdraw(attempt);
+    model.processEffects();
   }
   void forget(const std::string& id) {
-    w.links_.forget(id);
-    w.pump();
+    model.links_.forget(id);
+    model.processEffects();
   }
 };
 
-World::World(const Scope& scope)
+Model::Model(const Scope& scope)
     : scope_(std::make_shared<const Scope>(scope)),
       ledger_(rules(scope), &counters_),
       links_(limits(scope), &counters_),
       now_(kStart),
       queries_(std::size_t(scope.queries)),
       servers_(std::size_t(scope.servers), ServerState::serving),
-      since_(std::size_t(scope.servers), 0) {
-  // A constant in place of what is learned, so that no such times are part of the state.
+      startedMs_(std::size_t(scope.servers), 0) {
+  // A constant replaces the learned latencies, so that they are not part of the state.
   ledger_.phaseNeeds = [](const std::string&, int, std::size_t, double) {
     return std::optional<Micros>(kTick);
   };
-  begin();
-  for (int k = 0; k < scope.servers; ++k) member(k, ServerState::serving, 0);
-  settle();
+  attach();
+  for (int k = 0; k < scope.servers; ++k) updateServer(k, ServerState::serving, 0);
+  runUntilIdle();
 }
 
-std::string World::partName(int query, int part) {
+std::string Model::partName(int query, int part) {
   return "q" + std::to_string(query) + "." + std::to_string(part);
 }
-std::int64_t World::unixMs() const { return now_ / 1000; }
+std::int64_t Model::unixMs() const { return now_ / 1000; }
 
-// The counters of a copy are its own.
-void World::begin() {
+// Points the state machines to the counters and the time of this object, which may be a copy of another
+// model.
+void Model::attach() {
   ledger_.countTo(&counters_);
   links_.countTo(&counters_);
   ledger_.at(now_);
   links_.at(now_);
 }
 
-void World::breaks(const char* property, std::string what) {
-  if (!broken_) broken_ = Broken{property, std::move(what)};
+void Model::reportViolation(const char* property, std::string what) {
+  if (!violation_) violation_ = Violation{property, std::move(what)};
 }
 
-std::optional<Ledger::Sight::Part> World::partAt(Step step) const {
+std::optional<Ledger::Sight::Part> Model::partOf(Step step) const {
   for (const Ledger::Sight& q : ledger_.sight())
     if (q.handle == queries_[step.a].handle && step.b < q.parts.size()) return q.parts[step.b];
   return std::nullopt;
 }
 
-std::size_t World::queryAt(Handle handle) const {
+std::size_t Model::queryIndex(Handle handle) const {
   for (std::size_t k = 0; k < queries_.size(); ++k)
-    if (queries_[k].asked && queries_[k].handle == handle) return k;
+    if (queries_[k].submitted && queries_[k].handle == handle) return k;
   return queries_.size();
 }
 
-World::Socket* World::socketOf(Handle link) {
+Model::Socket* Model::socketFor(Handle link) {
   for (Socket& s : sockets_)
-    if (!s.stale && s.link == link) return &s;
+    if (!s.closedHere && s.link == link) return &s;
   return nullptr;
 }
 
-void World::member(int server, ServerState state, std::int64_t sinceMs) {
+void Model::updateServer(int server, ServerState state, std::int64_t sinceMs) {
   LeafEntry entry;
   entry.name = "s" + std::to_string(server);
   entry.address = {"127.0.0.1", std::uint16_t(kPort + server)};
@@ -149,108 +150,109 @@
   links_.update(entry);
 }
 
-// ---- What may happen next --------------------------------------------------------------------------------
+// ---- Enabled steps ---------------------------------------------------------------------------------------
 
-std::vector<Step> World::steps() const {
+std::vector<Step> Model::enabledSteps() const {
   std::vector<Step> out;
-  const auto add = [&](Kind kind, std::size_t a = 0, std::size_t b = 0, std::size_t c = 0) {
+  const auto add = [&](StepKind kind, std::size_t a = 0, std::size_t b = 0, std::size_t c = 0) {
     out.push_back({kind, std::uint8_t(a), std::uint8_t(b), std::uint8_t(c)});
   };
   const bool fault = faults_ < scope_->faults;
-  if (acting_) {
-    add(Kind::flush);
+  if (inTurn_) {
+    add(StepKind::endTurn);
     if (actions_ >= scope_->actions) return out;
     bool sentAny = false;
-    for (const auto& [id, watch] : parts_) sentAny = sentAny || watch.begun > 0;
+    for (const auto& [id, observation] : parts_) sentAny = sentAny || observation.sendsBegun > 0;
     for (const Ledger::Sight& q : ledger_.sight()) {
-      const std::size_t at = queryAt(q.handle);
-      add(Kind::refuse,
-          at);  // to the machines the same as a failure; of what has ended it must change nothing
+      const std::size_t index = queryIndex(q.handle);
+      // A refusal stands for a failure too, which the state machines treat alike. Refusing a query that has
+      // ended must have no effect.
+      add(StepKind::refuse, index);
       if (q.ended) continue;
-      bool whole = true, earlierUntried = false;
+      bool complete = true, earlierUntried = false;
       for (std::size_t p = 0; p < q.parts.size(); ++p) {
         const Ledger::Sight::Part& part = q.parts[p];
         if (!part.current) continue;
-        whole = whole && part.done;
+        complete = complete && part.done;
         const auto live = std::ranges::count(part.live, true);
         for (std::size_t n = 0; n < part.live.size(); ++n)
-          if (part.live[n]) add(Kind::cancel, at, p, n);
+          if (part.live[n]) add(StepKind::cancel, index, p, n);
         if (part.done || live > 1 || sends_ >= scope_->sends) continue;
-        // Parts are alike until they are sent, so the first sends come in their order. A send beyond the
-        // limit is tried in keyed classes: the ledger must not carry it out.
+        // Parts that were never sent are interchangeable, so their first sends are tried in order only. In
+        // keyed classes one send beyond the limit on attempts is tried; it must not be executed.
         if (part.live.empty() && earlierUntried) continue;
         earlierUntried = earlierUntried || part.live.empty();
-        const int most = scope_->attempts + (q.cls == 1 ? 1 : 0);
-        if (int(part.live.size()) >= most) continue;
+        const int maximum = scope_->attempts + (q.cls == 1 ? 1 : 0);
+        if (int(part.live.size()) >= maximum) continue;
         for (std::size_t s = 0; s < servers_.size(); ++s) {
-          add(Kind::send, at, p, s);
-          if (!sentAny && trips_.empty()) break;  // servers are alike until one is used
+          add(StepKind::send, index, p, s);
+          if (!sentAny && attempts_.empty()) break;  // servers are interchangeable until one is used
         }
       }
-      if (whole || (at == 0 && scope_->phases)) add(Kind::answer, at);
+      if (complete || (index == 0 && scope_->phases)) add(StepKind::answer, index);
     }
     return out;
   }
   for (std::size_t k = 0; k < queries_.size(); ++k) {
-    const Watch& q = queries_[k];
-    if (!q.asked) {  // queries are alike until they are asked, but for their class
-      if (ticks_ == 0) add(Kind::ask, k);
+    const QueryObservation& q = queries_[k];
+    if (!q.submitted) {  // submitted in order only: queries differ in nothing but their class until then
+      if (ticks_ == 0) add(StepKind::submitQuery, k);
       break;
     }
-    if (fault && !q.gone && q.finals == 0) add(Kind::clientGone, k);
+    if (fault && !q.clientGone && q.finalAnswers == 0) add(StepKind::clientDisconnects, k);
   }
-  if (fresh_) add(Kind::turn);
+  if (newEvents_) add(StepKind::beginTurn);
   for (std::size_t k = 0; k < sockets_.size(); ++k) {
     const Socket& s = sockets_[k];
-    if (s.stale) {
-      add(Kind::late, k);
+    if (s.closedHere) {
+      add(StepKind::lateCallback, k);
       continue;
     }
-    if (!s.up) {
-      add(Kind::connected, k);
-      if (fault) add(Kind::refused, k);
+    if (!s.connected) {
+      add(StepKind::connected, k);
+      if (fault) add(StepKind::connectRefused, k);
       continue;
     }
-    if (s.half.empty()) {
-      for (std::size_t r = 0; r < s.runs.size(); ++r) {
-        add(Kind::serve, k, r);
+    if (s.restOfAnswer.empty()) {
+      for (std::size_t r = 0; r < s.unanswered.size(); ++r) {
+        add(StepKind::answerOk, k, r);
         if (!fault) continue;
-        add(Kind::error, k, r);
-        add(Kind::busy, k, r);
-        add(Kind::stall, k, r);
+        add(StepKind::answerError, k, r);
+        add(StepKind::answerBusy, k, r);
+        add(StepKind::answerHalf, k, r);
       }
-      if (fault && !s.runs.empty()) add(Kind::spoilt, k);
-      if (fault && !s.last.empty()) add(Kind::again, k);
+      if (fault && !s.unanswered.empty()) add(StepKind::answerUnknownId, k);
+      if (fault && !s.lastAnswer.empty()) add(StepKind::answerRepeated, k);
     } else {
-      add(Kind::rest, k);
+      add(StepKind::answerRest, k);
     }
-    if (fault) add(Kind::closed, k);
-    if (fault && s.room == Room::all) {
-      add(Kind::blocks, k);
-      add(Kind::halves, k);
+    if (fault) add(StepKind::connectionClosed, k);
+    if (fault && s.writeCapacity == WriteCapacity::all) {
+      add(StepKind::writeBlocks, k);
+      add(StepKind::writeHalf, k);
     }
-    if (s.room != Room::all) add(Kind::opens, k);
+    if (s.writeCapacity != WriteCapacity::all) add(StepKind::writeUnblocks, k);
   }
   if (fault)
     for (std::size_t k = 0; k < servers_.size(); ++k) {
-      if (servers_[k] == ServerState::serving) add(Kind::drain, k);
-      if (servers_[k] == ServerState::serving) add(Kind::gone, k);
-      if (servers_[k] == ServerState::serving && since_[k] == 0) add(Kind::restart, k);
+      if (servers_[k] == ServerState::serving) add(StepKind::serverDrains, k);
+      if (servers_[k] == ServerState::serving) add(StepKind::serverRemoved, k);
+      if (servers_[k] == ServerState::serving && startedMs_[k] == 0) add(StepKind::serverRestarts, k);
     }
-  if (due_) add(Kind::sweep, 0);
-  if (linksDue_) add(Kind::sweep, 1);
-  if (!due_ && !linksDue_ && ticks_ < scope_->ticks && queries_[0].asked) add(Kind::tick);
+  if (timersDue_) add(StepKind::runDueTimers, 0);
+  if (linksDue_) add(StepKind::runDueTimers, 1);
+  if (!timersDue_ && !linksDue_ && ticks_ < scope_->ticks && queries_[0].submitted) add(StepKind::tick);
   return out;
 }
 
-// ---- Taking a step ---------------------------------------------------------------------------------------
+// ---- Performing a step -----------------------------------------------------------------------------------
 
-void World::take(Step step) {
-  begin();
+void Model::apply(Step step) {
+  attach();
   const auto socket = [&]() -> Socket& { return sockets_[step.a]; };
   const auto fault = [&] { ++faults_; };
   switch (step.kind) {
-    case Kind::ask: {
+    case StepKind::submitQuery: {
       NewQuery q;
       q.id = "q" + std::to_string(step.a);
       q.cls = step.a == 0 && scope_->keyed ? 1 : step.a == 0 && scope_->secondStep ? 2 : 0;
@@ -259,128 +261,132 @@
       q.until = kStart + scope_->ticks * kTick;
       for (int p = 0; p < scope_->parts; ++p) q.parts.push_back({p, 1.0 / scope_->parts});
       q.text = "t";
-      Watch& watch = queries_[step.a];
-      watch.asked = true;
-      if (ledger_.submit(std::move(q), watch.handle) != Ledger::Taken::open)
-        breaks(kOneAnswer.name, "a query is not taken");
+      QueryObservation& observation = queries_[step.a];
+      observation.submitted = true;
+      if (ledger_.submit(std::move(q), observation.handle) != Ledger::Taken::open)
+        reportViolation(kOneAnswer.name, "a query is not accepted");
       break;
     }
-    case Kind::clientGone:
+    case StepKind::clientDisconnects:
       fault();
-      queries_[step.a].gone = true;
+      queries_[step.a].clientGone = true;
       ledger_.abandon(queries_[step.a].handle);
       break;
-    case Kind::turn:
+    case StepKind::beginTurn:
       ledger_.takeEvents();
-      acting_ = true;
-      fresh_ = false;
+      inTurn_ = true;
+      newEvents_ = false;
       actions_ = 0;
       return;
-    case Kind::send:
+    case StepKind::send:
       ++actions_, ++sends_;
-      if (const auto part = partAt(step))
+      if (const auto part = partOf(step))
         ledger_.act(Send{part->id, "s" + std::to_string(step.c), part->live.empty() ? kTick : 0});
       break;
-    case Kind::cancel:
+    case StepKind::cancel:
       ++actions_;
-      if (const auto part = partAt(step)) ledger_.act(Cancel{part->id, int(step.c)});
+      if (const auto part = partOf(step)) ledger_.act(Cancel{part->id, int(step.c)});
       break;
-    case Kind::answer:
+    case StepKind::answer:
       ++actions_;
       ledger_.act(Answer{"q" + std::to_string(step.a), true});
       break;
-    case Kind::refuse:
+    case StepKind::refuse:
       ++actions_;
       ledger_.act(Refuse{"q" + std::to_string(step.a), std::nullopt});
       break;
-    case Kind::flush:
+    case StepKind::endTurn:
       ledger_.flushCalls();
-      acting_ = false;
+      inTurn_ = false;
       break;
-    case Kind::connected:
-      socket().up = true;
+    case StepKind::connected:
+      socket().connected = true;
       links_.cameUp(socket().link, unixMs());
       break;
-    case Kind::refused:
+    case StepKind::connectRefused:
       fault();
       links_.failed(socket().link, "refused");
       break;
-    case Kind::serve:
-    case Kind::error:
-    case Kind::busy: {
-      if (step.kind != Kind::serve) fault();
+    case StepKind::answerOk:
+    case StepKind::answerError:
+    case StepKind::answerBusy: {
+      if (step.kind != StepKind::answerOk) fault();
       Socket& s = socket();
-      const char* end = step.kind == Kind::serve ? "200" : step.kind == Kind::error ? "500" : "503";
-      const std::string frame = answerFrame(s.runs[step.b], end);
-      s.runs.erase(s.runs.begin() + step.b);
-      s.last = frame;
+      const char* end = step.kind == StepKind::answerOk      ? "200"
+                        : step.kind == StepKind::answerError ? "500"
+                                                             : "503";
+      const std::string frame = answerFrame(s.unanswered[step.b], end);
+      s.unanswered.erase(s.unanswered.begin() + step.b);
+      s.lastAnswer = frame;
       links_.received(s.link, frame);
       break;
     }
-    case Kind::spoilt:
+    case StepKind::answerUnknownId:
       fault();
       links_.received(socket().link, answerFrame("x", "200"));
       break;
-    case Kind::again:
+    case StepKind::answerRepeated:
       fault();
-      links_.received(socket().link, socket().last);
+      links_.received(socket().link, socket().lastAnswer);
       break;
-    case Kind::stall: {
+    case StepKind::answerHalf: {
       fault();
       Socket& s = socket();
-      const std::string frame = answerFrame(s.runs[step.b], "200");
-      s.runs.erase(s.runs.begin() + step.b);
-      s.last = frame;
-      s.half = frame.substr(frame.size() / 2);
+      const std::string frame = answerFrame(s.unanswered[step.b], "200");
+      s.unanswered.erase(s.unanswered.begin() + step.b);
+      s.lastAnswer = frame;
+      s.restOfAnswer = frame.substr(frame.size() / 2);
       links_.received(s.link, std::string_view(frame).substr(0, frame.size() / 2));
       break;
     }
-    case Kind::rest:
-      links_.received(socket().link, std::exchange(socket().half, {}));
+    case StepKind::answerRest:
+      links_.received(socket().link, std::exchange(socket().restOfAnswer, {}));
       break;
-    case Kind::closed:
+    case StepKind::connectionClosed:
       fault();
       links_.failed(socket().link, "closed");
       break;
-    case Kind::blocks:
-    case Kind::halves:
+    case StepKind::writeBlocks:
+    case StepKind::writeHalf:
       fault();
-      socket().room = step.kind == Kind::blocks ? Room::none : Room::half;
+      socket().writeCapacity = step.kind == StepKind::writeBlocks ? WriteCapacity::none : WriteCapacity::half;
       break;
-    case Kind::opens:
-      socket().room = Room::all;
-      if (std::exchange(socket().told, false)) links_.writable(socket().link);
+    case StepKind::writeUnblocks:
+      socket().writeCapacity = WriteCapacity::all;
+      if (std::exchange(socket().blockReported, false)) links_.writable(socket().link);
       break;
-    case Kind::late: {
+    case StepKind::lateCallback: {
       const Socket s = socket();
       sockets_.erase(sockets_.begin() + step.a);
-      if (!s.up) {
+      if (!s.connected) {
         links_.cameUp(s.link, unixMs());
         break;
       }
-      if (!s.runs.empty()) links_.received(s.link, answerFrame(s.runs[0], "200"));
+      if (!s.unanswered.empty()) links_.received(s.link, answerFrame(s.unanswered[0], "200"));
       links_.writable(s.link);
       break;
     }
-    case Kind::drain:
-    case Kind::gone:
+    case StepKind::serverDrains:
+    case StepKind::serverRemoved:
       fault();
-      member(step.a, step.kind == Kind::drain ? ServerState::draining : ServerState::gone, since_[step.a]);
+      updateServer(step.a, step.kind == StepKind::serverDrains ? ServerState::draining : ServerState::gone,
+                   startedMs_[step.a]);
       break;
-    case Kind::restart:
+    case StepKind::serverRestarts:
       fault();
-      since_[step.a] = unixMs() + 1;
-      member(step.a, ServerState::serving, since_[step.a]);
+      startedMs_[step.a] = unixMs() + 1;
+      updateServer(step.a, ServerState::serving, startedMs_[step.a]);
       break;
-    case Kind::tick:
+    case StepKind::tick:
       ++ticks_;
       now_ += kTick;
-      due_ = linksDue_ = fresh_ = true;
-      std::erase_if(sockets_, [](const Socket& s) { return s.stale; });  // a callback is not as late as that
+      timersDue_ = linksDue_ = newEvents_ = true;
+      // No callback is delayed for as long as a tick.
+      std::erase_if(sockets_, [](const Socket& s) { return s.closedHere; });
       break;
-    case Kind::sweep:
+    case StepKind::runDueTimers:
       if (step.a == 0) {
-        due_ = false;
+        timersDue_ = false;
         ledger_.sweep();
       } else {
         linksDue_ = false;
@@ -388,37 +394,37 @@
       }
       break;
   }
-  if (!acting_) {
-    settle();
-    order();
+  if (!inTurn_) {
+    runUntilIdle();
+    sortSockets();
   }
-  inspect();
+  checkInvariants();
 }
 
-void World::settle() {
+void Model::runUntilIdle() {
   do {
-    pump();
-    carry();
+    processEffects();
+    processCommands();
   } while (!ledger_.quiet() || !links_.quiet());
-  fresh_ = fresh_ || ledger_.hasEvents();
+  newEvents_ = newEvents_ || ledger_.hasEvents();
 }
 
-void World::carry() {
-  if (carrying_) return;  // what a command brings about is carried out by the loop that is under way
-  carrying_ = true;
-  Side side{*this};
+void Model::processCommands() {
+  if (processingCommands_) return;  // called from within a command: the running loop processes what it caused
+  processingCommands_ = true;
+  LeafSideAdapter side{*this};
   carryOut(
-      ledger_, side, [this](Handle query, const FinalAnswer& answer) { final(query, answer); },
+      ledger_, side, [this](Handle query, const FinalAnswer& answer) { onFinalAnswer(query, answer); },
       [this](const char* what, const std::string& id) {
         if (std::string_view(what) != "the module left a query open until its end")
-          breaks(kNoDefect.name, std::string(what) + ": " + id);
+          reportViolation(kNoDefect.name, std::string(what) + ": " + id);
       });
-  carrying_ = false;
+  processingCommands_ = false;
 }
 
-void World::pump() {
-  if (pumping_) return;
-  pumping_ = true;
+void Model::processEffects() {
+  if (processingEffects_) return;
+  processingEffects_ = true;
   while (!links_.quiet())
     for (Links::Effect& effect : links_.take()) {
       if (const auto* open = std::get_if<Links::Open>(&effect)) {
@@ -427,292 +433,303 @@
         s.server = open->address.port - kPort;
         sockets_.push_back(std::move(s));
       } else if (const auto* flush = std::get_if<Links::Flush>(&effect)) {
-        if (Socket* s = socketOf(flush->link)) write(*s);
+        if (Socket* s = socketFor(flush->link)) writeOut(*s);
       } else if (const auto* close = std::get_if<Links::Close>(&effect)) {
-        // Nothing comes late that can't be told from the end itself.
-        if (Socket* s = socketOf(close->link); s && (!s->up || !s->runs.empty()))
-          s->stale = true;
+        // A late callback makes a difference only if the connection was not established yet or an answer is
+        // outstanding; otherwise the socket is removed at once.
+        if (Socket* s = socketFor(close->link); s && (!s->connected || !s->unanswered.empty()))
+          s->closedHere = true;
         else if (s)
           sockets_.erase(sockets_.begin() + (s - sockets_.data()));
       } else if (auto* end = std::get_if<Links::Ended>(&effect)) {
-        ended(*end);
+        onAttemptEnded(*end);
       }
     }
-  pumping_ = false;
+  processingEffects_ = false;
 }
 
-void World::write(Socket& s) {
+void Model::writeOut(Socket& s) {
   for (;;) {
     const std::string_view bytes = links_.front(s.link);
     if (bytes.empty()) return;
     const bool begun = links_.frontBegun(s.link);
     const std::vector<Handle> attempts = links_.frontAttempts(s.link);
-    const std::size_t n = s.room == Room::all ? bytes.size() : s.room == Room::half ? bytes.size() / 2 : 0;
-    if (n > 0 && !begun && !attempts.empty()) beginFrame(attempts, s);
+    const std::size_t n = s.writeCapacity == WriteCapacity::all    ? bytes.size()
+                          : s.writeCapacity == WriteCapacity::half ? bytes.size() / 2
+                                                                   : 0;
+    if (n > 0 && !begun && !attempts.empty()) onFrameStart(attempts, s);
     if (n == bytes.size()) {
       for (const Handle h : attempts)
-        if (const auto trip = trips_.find(number(h)); trip != trips_.end()) trip->second.whole = true;
-      for (std::string& part : std::exchange(s.going, {})) s.runs.push_back(std::move(part));
+        if (const auto it = attempts_.find(number(h)); it != attempts_.end()) it->second.sendComplete = true;
+      for (std::string& part : std::exchange(s.frameParts, {})) s.unanswered.push_back(std::move(part));
     }
     if (n > 0) links_.wrote(s.link, n);
     if (n == bytes.size()) continue;
-    s.room = Room::none;
-    s.told = true;
+    s.writeCapacity = WriteCapacity::none;
+    s.blockReported = true;
     links_.blocked(s.link);
     return;
   }
 }
 
-// The first byte of a frame of parts goes out: here most rules are kept or broken.
-void World::beginFrame(const std::vector<Handle>& attempts, Socket& s) {
+// Called when the first byte of a frame with parts is written. Most properties are checked here.
+void Model::onFrameStart(const std::vector<Handle>& attempts, Socket& s) {
   for (const Handle h : attempts) {
-    const auto trip = trips_.find(number(h));
-    const std::size_t query = queryAt(ledger_.queryOf(h));
-    if (trip == trips_.end() || query >= queries_.size()) {
-      breaks(kNothingAfter.name, "a part of an attempt that has ended goes out");
+    const auto it = attempts_.find(number(h));
+    const std::size_t query = queryIndex(ledger_.queryOf(h));
+    if (it == attempts_.end() || query >= queries_.size()) {
+      reportViolation(kNothingAfter.name, "a part of an attempt that has ended is sent");
       continue;
     }
-    const std::string& id = trip->second.part;
-    trip->second.begun = true;
-    s.going.push_back(id);
-    const Watch& q = queries_[query];
-    if (q.finals > 0 || q.gone) breaks(kNothingAfter.name, id + " goes out after its query's end");
-    PartWatch& part = parts_[id];
-    if (++part.begun > scope_->attempts) breaks(kAttempts.name, id + " goes out once too often");
+    const std::string& id = it->second.part;
+    it->second.sendBegun = true;
+    s.frameParts.push_back(id);
+    const QueryObservation& q = queries_[query];
+    if (q.finalAnswers > 0 || q.clientGone)
+      reportViolation(kNothingAfter.name, id + " is sent after its query's end");
+    PartObservation& part = parts_[id];
+    if (++part.sendsBegun > scope_->attempts)
+      reportViolation(kAttempts.name, id + " is sent more often than allowed");
     const bool keyed = scope_->keyed && queryOf(id) == 0;
     if (keyed && !part.mayHaveRun.empty() && now_ >= part.mayHaveRun.front().second + 2 * kTick)
-      breaks(kWindow.name, id + " goes out again after its window");
+      reportViolation(kWindow.name, id + " is sent again after its window");
     part.mayHaveRun.emplace_back(number(h), now_);
     const std::size_t server = std::size_t(s.server);
-    // The machines stop at once, which is stricter than the rule: a world of a few ticks would not see 1 s.
+    // The state machines stop sending at once. That is stricter than the property and can be checked in a
+    // model of a few ticks.
     if (servers_[server] != ServerState::serving)
-      breaks(kDrain.name, id + " goes to s" + std::to_string(server) + ", which is told to drain");
+      reportViolation(kDrain.name,
+                      id + " is sent to s" + std::to_string(server) + ", which is draining or removed");
   }
 }
 
-void World::ended(Links::Ended& end) {
-  const auto at = trips_.find(number(end.attempt));
-  const bool known = at != trips_.end();
-  const Trip trip = known ? at->second : Trip{};
+void Model::onAttemptEnded(Links::Ended& end) {
+  const auto it = attempts_.find(number(end.attempt));
+  const bool known = it != attempts_.end();
+  const AttemptObservation attempt = known ? it->second : AttemptObservation{};
   if (known) {
-    trips_.erase(at);
-    if (end.outcome == Outcome::connectFailed && trip.whole)
-      breaks(kWritten.name, trip.part + " could not connect, but was written whole");
-    if (end.outcome == Outcome::reset && !trip.whole)
-      breaks(kWritten.name, trip.part + " was reset, but was not written whole");
-    if (end.outcome == Outcome::cancelled && trip.begun)
-      breaks(kWritten.name, trip.part + " was taken back, but had begun to go out");
+    attempts_.erase(it);
+    if (end.outcome == Outcome::connectFailed && attempt.sendComplete)
+      reportViolation(kWritten.name, attempt.part + " could not connect, but was written completely");
+    if (end.outcome == Outcome::reset && !attempt.sendComplete)
+      reportViolation(kWritten.name, attempt.part + " was reset, but was not written completely");
+    if (end.outcome == Outcome::cancelled && attempt.sendBegun)
+      reportViolation(kWritten.name, attempt.part + " was withdrawn, but part of it had been written");
     if (end.outcome == Outcome::busy || end.outcome == Outcome::connectFailed)
-      std::erase_if(parts_[trip.part].mayHaveRun,
-                    [&](const auto& run) { return run.first == number(end.attempt); });
-    if (end.outcome == Outcome::done && end.answer.value != "value of " + trip.part)
-      breaks(kOwnValue.name, trip.part + " is given '" + end.answer.value + "'");
-    if (end.outcome == Outcome::done && !trip.whole)
-      breaks(kOwnValue.name, trip.part + " is served before it was written whole");
+      std::erase_if(parts_[attempt.part].mayHaveRun,
+                    [&](const auto& sending) { return sending.first == number(end.attempt); });
+    if (end.outcome == Outcome::done && end.answer.value != "value of " + attempt.part)
+      reportViolation(kOwnValue.name, attempt.part + " is given '" + end.answer.value + "'");
+    if (end.outcome == Outcome::done && !attempt.sendComplete)
+      reportViolation(kOwnValue.name, attempt.part + " is served before it was written completely");
   } else {
-    breaks(kOneEnd.name, "an attempt that was not out has ended");
+    reportViolation(kOneEnd.name, "an attempt that was not outstanding has ended");
   }
   ledger_.ended(end.attempt, end.outcome, std::move(end.answer));
-  carry();
+  processCommands();
 }
 
-void World::final(Handle query, const FinalAnswer& answer) {
-  const std::size_t at = queryAt(query);
-  if (at >= queries_.size()) return breaks(kOneAnswer.name, "an answer to no query");
-  Watch& q = queries_[at];
-  if (q.gone) return;  // nobody is told
-  if (++q.finals > 1) breaks(kOneAnswer.name, "q" + std::to_string(at) + " is answered again");
+void Model::onFinalAnswer(Handle query, const FinalAnswer& answer) {
+  const std::size_t index = queryIndex(query);
+  if (index >= queries_.size()) return reportViolation(kOneAnswer.name, "an answer to an unknown query");
+  QueryObservation& q = queries_[index];
+  if (q.clientGone) return;  // the answer is not delivered
+  if (++q.finalAnswers > 1)
+    reportViolation(kOneAnswer.name, "q" + std::to_string(index) + " is answered again");
   if (answer.account) {
     const phases::PhaseAccount& first = answer.account->phases[0];
     const phases::PhaseAccount* second =
         answer.account->phases.size() > 1 && answer.account->phases[1].asked > 0 ? &answer.account->phases[1]
                                                                                  : nullptr;
-    // By the rows, not by what the account says of itself.
+    // Checked against the rows of the answer, because the account might be wrong.
     const bool fromSecond = answer.account->second == phases::Step::Second::whole ||
                             answer.account->second == phases::Step::Second::cut;
-    const int rows = int(answer.rows.size()), least = fromSecond ? second->asked : (first.asked + 1) / 2;
-    if (rows < least)
-      breaks(kLeastShare.name, "q" + std::to_string(at) + " is answered from " + std::to_string(rows) +
-                                   " parts, its least is " + std::to_string(least));
+    const int rows = int(answer.rows.size()), minimum = fromSecond ? second->asked : (first.asked + 1) / 2;
+    if (rows < minimum)
+      reportViolation(kLeastShare.name, "q" + std::to_string(index) + " is answered from " +
+                                            std::to_string(rows) + " parts, the minimum is " +
+                                            std::to_string(minimum));
     if (answer.whole && (first.in < first.asked || !fromSecond || rows < second->asked))
-      breaks(kLeastShare.name, "q" + std::to_string(at) + " is marked whole and is not");
+      reportViolation(kLeastShare.name, "q" + std::to_string(index) + " is marked complete and is not");
   }
   for (const Row& row : answer.rows) {
-    const std::string id = partName(int(at), row.shard);
+    const std::string id = partName(int(index), row.shard);
     if (row.value != "value of " + id && row.value != "value of " + id + ".fetch")
-      breaks(kOwnValue.name, id + " is served '" + row.value + "'");
+      reportViolation(kOwnValue.name, id + " is served '" + row.value + "'");
   }
 }
 
-// What must hold whenever a step is over.
-void World::inspect() {
-  bool over = true;
+// Checks the properties that must hold after every step.
+void Model::checkInvariants() {
+  bool allEnded = true;
   for (std::size_t k = 0; k < queries_.size(); ++k) {
-    const Watch& q = queries_[k];
-    if (!q.asked) continue;
-    const bool ended = q.finals > 0 || q.gone;
-    over = over && ended;
-    if (!ended && ticks_ >= scope_->ticks && !due_ && !acting_)
-      breaks(kInTime.name, "q" + std::to_string(k) + " has no answer when its time is over");
+    const QueryObservation& q = queries_[k];
+    if (!q.submitted) continue;
+    const bool ended = q.finalAnswers > 0 || q.clientGone;
+    allEnded = allEnded && ended;
+    if (!ended && ticks_ >= scope_->ticks && !timersDue_ && !inTurn_)
+      reportViolation(kInTime.name, "q" + std::to_string(k) + " has no answer at its deadline");
   }
-  if (acting_) return;
+  if (inTurn_) return;
   const Ledger::Sums sums = ledger_.sums();
-  std::size_t out = 0;
+  std::size_t outstanding = 0;
   for (const Ledger::Sight& q : ledger_.sight())
-    for (const auto& part : q.parts) out += std::size_t(std::ranges::count(part.live, true));
-  if (out != sums.attempts) breaks(kNoLeak.name, "an attempt has no part that knows it");
-  if (out != trips_.size() || out != links_.places())
-    breaks(kOneEnd.name, "the ledger has " + std::to_string(out) + " attempts out, the links " +
-                             std::to_string(links_.places()));
-  if (over && out == 0 &&
+    for (const auto& part : q.parts) outstanding += std::size_t(std::ranges::count(part.live, true));
+  if (outstanding != sums.attempts) reportViolation(kNoLeak.name, "an attempt is not known to any part");
+  if (outstanding != attempts_.size() || outstanding != links_.places())
+    reportViolation(kOneEnd.name, "the ledger has " + std::to_string(outstanding) +
+                                      " outstanding attempts, the links " + std::to_string(links_.places()));
+  if (allEnded && outstanding == 0 &&
       (sums.queries != 0 || sums.ids != 0 || sums.due != 0 || sums.held != 0 || ledger_.open() != 0))
-    breaks(kNoLeak.name, "with nothing out " + std::to_string(sums.queries) + " queries, " +
-                             std::to_string(sums.ids) + " ids, " + std::to_string(sums.due) +
-                             " deadlines and " + std::to_string(sums.held) + " of the room are held");
-  if (links_.due() > 2 * links_.size()) breaks(kNoLeak.name, "deadlines of no connection");
+    reportViolation(kNoLeak.name, "with nothing outstanding, " + std::to_string(sums.queries) + " queries, " +
+                                      std::to_string(sums.ids) + " ids, " + std::to_string(sums.due) +
+                                      " timers and " + std::to_string(sums.held) +
+                                      " units of open load remain");
+  if (links_.due() > 2 * links_.size()) reportViolation(kNoLeak.name, "timers without a connection");
 }
 
-// ---- The state as bytes ----------------------------------------------------------------------------------
+// ---- Digest ----------------------------------------------------------------------------------------------
 
-std::string World::digest() const {
+std::string Model::digest() const {
   Digest to(now_);
-  to << ticks_ << faults_ << sends_ << acting_ << due_ << linksDue_ << fresh_ << (acting_ ? actions_ : 0);
-  for (const Watch& q : queries_) to << q.asked << q.gone << q.finals;
+  to << ticks_ << faults_ << sends_ << inTurn_ << timersDue_ << linksDue_ << newEvents_
+     << (inTurn_ ? actions_ : 0);
+  for (const QueryObservation& q : queries_) to << q.submitted << q.clientGone << q.finalAnswers;
   for (const auto& [id, part] : parts_) {
-    to << id << part.begun;
-    for (const auto& [attempt, at] : part.mayHaveRun)
-      to.time(std::max(at, now_ - 2 * kTick))
+    to << id << part.sendsBegun;
+    for (const auto& [attempt, sentAt] : part.mayHaveRun)
+      to.time(std::max(sentAt, now_ - 2 * kTick))
           << ledger_.nameOf({std::uint32_t(attempt), std::uint32_t(attempt >> 32)});
   }
-  for (const std::int64_t since : since_) to << (since != 0);
+  for (const std::int64_t since : startedMs_) to << (since != 0);
   ledger_.digest(to);
   links_.digest(to, [this](Handle attempt) { return ledger_.nameOf(attempt); });
   for (const Socket& s : sockets_) digestSocket(to, s);
   return std::move(to.bytes());
 }
 
-void World::digestSocket(Digest& to, const Socket& s) {
-  to << s.server << s.up << s.stale << s.room << s.told << s.last << s.half << std::uint32_t(s.runs.size());
-  for (const std::string& run : s.runs) to << run;
-  for (const std::string& part : s.going) to << part;
+void Model::digestSocket(Digest& to, const Socket& s) {
+  to << s.server << s.connected << s.closedHere << s.writeCapacity << s.blockReported << s.lastAnswer
+     << s.restOfAnswer << std::uint32_t(s.unanswered.size());
+  for (const std::string& part : s.unanswered) to << part;
+  for (const std::string& part : s.frameParts) to << part;
 }
 
-void World::order() {
+void Model::sortSockets() {
   std::vector<Socket> sorted;
   for (const Handle link : links_.all())
-    if (Socket* s = socketOf(link)) sorted.push_back(std::move(*s));
-  std::vector<std::pair<std::string, Socket>> stale;
+    if (Socket* s = socketFor(link)) sorted.push_back(std::move(*s));
+  std::vector<std::pair<std::string, Socket>> closed;
   for (Socket& s : sockets_) {
-    if (!s.stale) continue;
+    if (!s.closedHere) continue;
     Digest key(now_);
     digestSocket(key, s);
-    stale.emplace_back(key.bytes(), std::move(s));
+    closed.emplace_back(key.bytes(), std::move(s));
   }
-  std::ranges::sort(stale, {}, [](const auto& e) { return e.first; });
-  for (auto& [key, s] : stale) sorted.push_back(std::move(s));
+  std::ranges::sort(closed, {}, [](const auto& e) { return e.first; });
+  for (auto& [key, s] : closed) sorted.push_back(std::move(s));
   sockets_ = std::move(sorted);
 }
 
-// ---- In words --------------------------------------------------------------------------------------------
+// ---- Traces and scenarios --------------------------------------------------------------------------------
 
-std::string World::name(Step step) const {
+std::string Model::describe(Step step) const {
   const std::string a = std::to_string(step.a);
   const auto socket = [&] { return "connection " + a + " to s" + std::to_string(sockets_[step.a].server); };
   const auto part = [&] {
-    if (const auto held = partAt(step)) return held->id;
+    if (const auto existing = partOf(step)) return existing->id;
     return partName(step.a, step.b);
   };
-  const auto run = [&] { return sockets_[step.a].runs[step.b]; };
+  const auto unanswered = [&] { return sockets_[step.a].unanswered[step.b]; };
   switch (step.kind) {
-    case Kind::ask:
-      return "a client asks q" + a;
-    case Kind::clientGone:
-      return "the client of q" + a + " goes away";
-    case Kind::turn:
+    case StepKind::submitQuery:
+      return "a client submits q" + a;
+    case StepKind::clientDisconnects:
+      return "the client of q" + a + " disconnects";
+    case StepKind::beginTurn:
       return "a turn begins";
-    case Kind::send:
+    case StepKind::send:
       return "the module sends " + part() + " to s" + std::to_string(step.c);
-    case Kind::cancel:
+    case StepKind::cancel:
       return "the module cancels attempt " + std::to_string(step.c) + " of " + part();
-    case Kind::answer:
+    case StepKind::answer:
       return "the module answers q" + a;
-    case Kind::refuse:
+    case StepKind::refuse:
       return "the module refuses q" + a;
-    case Kind::flush:
-      return "the turn ends, its sends go out";
-    case Kind::connected:
-      return socket() + " comes up";
-    case Kind::refused:
+    case StepKind::endTurn:
+      return "the turn ends, its parts are sent";
+    case StepKind::connected:
+      return socket() + " is established";
+    case StepKind::connectRefused:
       return socket() + " is refused";
-    case Kind::serve:
-      return socket() + " brings the value of " + run();
-    case Kind::error:
-      return socket() + " brings 500 for " + run();
-    case Kind::busy:
-      return socket() + " brings 503 for " + run();
-    case Kind::spoilt:
-      return socket() + " brings an answer to nothing";
-    case Kind::again:
-      return socket() + " brings its last answer again";
-    case Kind::stall:
-      return socket() + " brings half an answer for " + run();
-    case Kind::rest:
-      return socket() + " brings the other half";
-    case Kind::closed:
+    case StepKind::answerOk:
+      return socket() + " delivers the value of " + unanswered();
+    case StepKind::answerError:
+      return socket() + " delivers 500 for " + unanswered();
+    case StepKind::answerBusy:
+      return socket() + " delivers 503 for " + unanswered();
+    case StepKind::answerUnknownId:
+      return socket() + " delivers an answer with an unknown id";
+    case StepKind::answerRepeated:
+      return socket() + " delivers its last answer again";
+    case StepKind::answerHalf:
+      return socket() + " delivers half an answer for " + unanswered();
+    case StepKind::answerRest:
+      return socket() + " delivers the other half";
+    case StepKind::connectionClosed:
       return socket() + " is closed by its server";
-    case Kind::blocks:
-      return socket() + " takes no more bytes";
-    case Kind::halves:
-      return socket() + " takes half a frame, then no more";
-    case Kind::opens:
-      return socket() + " takes bytes again";
-    case Kind::late:
-      return socket() + ", closed here, still calls back";
-    case Kind::drain:
-      return "s" + a + " is told to drain";
-    case Kind::gone:
-      return "s" + a + " is told to be gone";
-    case Kind::restart:
-      return "s" + a + " is told to have restarted";
-    case Kind::tick:
+    case StepKind::writeBlocks:
+      return socket() + " accepts no more bytes";
+    case StepKind::writeHalf:
+      return socket() + " accepts half a frame, then no more";
+    case StepKind::writeUnblocks:
+      return socket() + " accepts bytes again";
+    case StepKind::lateCallback:
+      return socket() + ", closed by the mixer, has a late callback";
+    case StepKind::serverDrains:
+      return "s" + a + " is reported as draining";
+    case StepKind::serverRemoved:
+      return "s" + a + " is reported as removed";
+    case StepKind::serverRestarts:
+      return "s" + a + " is reported as restarted";
+    case StepKind::tick:
       return "0.3 s pass";
-    case Kind::sweep:
-      return step.a == 0 ? "attempts and queries whose time is over end"
-                         : "connections whose time is over end";
+    case StepKind::runDueTimers:
+      return step.a == 0 ? "attempts and queries that are overdue end" : "connections that are overdue end";
   }
   return "?";
 }
 
-std::string World::scenario(Step step) const {
+std::string Model::scenarioLine(Step step) const {
   const std::string a = std::to_string(step.a);
   const auto peer = [&] { return "l" + a; };
   switch (step.kind) {
-    case Kind::ask: {
+    case StepKind::submitQuery: {
       std::string shards;
       for (int p = 0; p < scope_->parts; ++p) shards += (p ? "," : "") + std::to_string(p);
       return "connect c" + a + "\nsend c" + a + " query q" + a +
              (step.a == 0 && scope_->keyed ? " keyed " : " plain ") + "0.9 " + shards;
     }
-    case Kind::clientGone:
+    case StepKind::clientDisconnects:
       return "close c" + a;
-    case Kind::connected:
+    case StepKind::connected:
       return "accept " + peer() + " s" + std::to_string(sockets_[step.a].server);
-    case Kind::serve:
-      return "send " + peer() + " frame O " + sockets_[step.a].runs[step.b] + " 200 7 -\\nv";
-    case Kind::error:
-      return "send " + peer() + " frame O " + sockets_[step.a].runs[step.b] + " 500 7 -\\nv";
-    case Kind::busy:
-      return "send " + peer() + " frame O " + sockets_[step.a].runs[step.b] + " 503 7 -\\nv";
-    case Kind::spoilt:
+    case StepKind::answerOk:
+      return "send " + peer() + " frame O " + sockets_[step.a].unanswered[step.b] + " 200 7 -\\nv";
+    case StepKind::answerError:
+      return "send " + peer() + " frame O " + sockets_[step.a].unanswered[step.b] + " 500 7 -\\nv";
+    case StepKind::answerBusy:
+      return "send " + peer() + " frame O " + sockets_[step.a].unanswered[step.b] + " 503 7 -\\nv";
+    case StepKind::answerUnknownId:
       return "send " + peer() + " frame O x 200 7 -\\nv";
-    case Kind::closed:
+    case StepKind::connectionClosed:
       return "close " + peer();
-    case Kind::tick:
+    case StepKind::tick:
       return "wait 300";
-    case Kind::flush:
-      return "# the turn's sends go out";
+    case StepKind::endTurn:
+      return "# the parts of the turn are sent";
     default:
-      return "# " + name(step);
+      return "# " + describe(step);
   }
 }
 
--- a/src/check/world.hpp
+++ b/src/check/world.hpp
@@ -1,6 +1,7 @@
-// One mixer's state machines (`Ledger`, `Links`: the code that serves) in a small world that may do anything
-// its protocol allows: a decision module that takes any legal action at any time, leaf servers, sockets,
-// discovery, clients and time. A copy of a world is a state of its own.
+// Model for the checker: the state machines of one mixer (`Ledger` and `Links`, the same code that serves) in
+// a small environment that may do anything the protocol allows. The environment consists of a decision module
+// that takes any legal action at any time, leaf servers, sockets, discovery, clients and time. A copied model
+// evolves independently of the original.
 #pragma once
 
 #include <compare>
@@ -18,113 +19,117 @@
 
 using net::Handle;
 
-// How large the world is. Every count is an upper bound.
+// Size of the model. Every number is an upper bound.
 struct Scope {
   int queries = 2, parts = 2, servers = 2, linksPerServer = 2, attempts = 3;
-  int sends = 4;                          // of the module, in one history
-  int faults = 1;                         // things that go wrong, of any kind, in one history
-  int ticks = 3;                          // steps of time; a client's time ends at the last
-  int actions = 2;                        // of the module in one turn
-  bool keyed = true, secondStep = false;  // query 0 is keyed | of a class with a second step
-  bool phases = false;                    // query 0 is in two phases, the second of which may be skipped
+  int sends = 4;            // by the decision module, in one history
+  int faults = 1;           // of any kind, in one history
+  int ticks = 3;            // steps of time; the clients' deadline is at the last one
+  int actions = 2;          // of the decision module, in one turn
+  bool keyed = true;        // query 0 is keyed
+  bool secondStep = false;  // query 0 belongs to a class with a second step
+  bool phases = false;      // query 0 has two phases, the second of which may be skipped
 };
 
-enum class Kind : std::uint8_t {
-  ask,         // a: query
-  clientGone,  // a: query
-  turn,        // the module hears what has come and begins to act
-  send,        // a: query, b: part, c: server
-  cancel,      // a: query, b: part, c: attempt
-  answer,      // a: query
-  refuse,      // a: query
-  flush,       // the turn's sends go out
-  connected,   // a: socket
-  refused,     // a: socket
-  serve,       // a: socket, b: run; the leaf server answers 200
-  error,       // ... 500
-  busy,        // ... 503
-  spoilt,      // ... under an id that nobody asked for
-  again,       // a: socket; a second copy of its last answer
-  stall,       // a: socket, b: run; half an answer, and no more for now
-  rest,        // a: socket; the other half
-  closed,      // a: socket; the leaf server closes or resets it
-  blocks,      // a: socket; from now on the system takes nothing
-  halves,      // a: socket; from now on it takes half a frame, then nothing
-  opens,       // a: socket; it takes all again
-  late,        // a: socket; a callback of a socket that was closed here
-  drain,       // a: server
-  gone,        // a: server
-  restart,     // a: server
-  tick,        // time passes
-  sweep,       // the deadlines that are due
+enum class StepKind : std::uint8_t {
+  submitQuery,        // a: query
+  clientDisconnects,  // a: query
+  beginTurn,          // the decision module receives the pending events and begins to act
+  send,               // a: query, b: part, c: server
+  cancel,             // a: query, b: part, c: attempt
+  answer,             // a: query
+  refuse,             // a: query
+  endTurn,            // the sends of the turn are handed to the leaf side
+  connected,          // a: socket
+  connectRefused,     // a: socket
+  answerOk,           // a: socket, b: index in its unanswered parts; the leaf server answers 200
+  answerError,        // as answerOk, but 500
+  answerBusy,         // as answerOk, but 503
+  answerUnknownId,    // a: socket; an answer with an id that was never sent
+  answerRepeated,     // a: socket; its last answer once more
+  answerHalf,         // a: socket, b: index in its unanswered parts; the first half of an answer
+  answerRest,         // a: socket; the second half of that answer
+  connectionClosed,   // a: socket; closed or reset by the leaf server
+  writeBlocks,        // a: socket; accepts no bytes from now on
+  writeHalf,          // a: socket; accepts half a frame, then no more
+  writeUnblocks,      // a: socket; accepts all bytes again
+  lateCallback,       // a: socket; a callback for a socket that the mixer has closed
+  serverDrains,       // a: server
+  serverRemoved,      // a: server
+  serverRestarts,     // a: server
+  tick,               // time passes
+  runDueTimers,       // a: 0 those of the query state machine, 1 those of the links
 };
+// One step of the environment; what a, b and c refer to depends on the kind.
 struct Step {
-  Kind kind = Kind::turn;
+  StepKind kind = StepKind::beginTurn;
   std::uint8_t a = 0, b = 0, c = 0;
   auto operator<=>(const Step&) const = default;
 };
 
-class World {
+class Model {
  public:
-  explicit World(const Scope& scope);
-  std::vector<Step> steps() const;  // all that may happen next
-  // Takes one of them. A broken property is told once, by its name and what broke it.
-  void take(Step step);
-  struct Broken {
-    const char* property = nullptr;  // as in properties.hpp
-    std::string what;
+  explicit Model(const Scope& scope);
+  std::vector<Step> enabledSteps() const;  // all steps that may happen next
+  // Performs one of the enabled steps. The first violation of a property is recorded in violation().
+  void apply(Step step);
+  struct Violation {
+    const char* property = nullptr;  // name of the property, see properties.hpp
+    std::string what;                // what violated it
   };
-  bool acting() const { return acting_; }  // amid a turn
-  const std::optional<Broken>& broken() const { return broken_; }
-  std::string digest() const;
-  std::string name(Step step) const;  // in words, for a trace
-  // As a line of the scenario language; begins with # where that has no word for it.
-  std::string scenario(Step step) const;
+  bool inTurn() const { return inTurn_; }  // a turn has begun and not ended
+  const std::optional<Violation>& violation() const { return violation_; }
+  std::string digest() const;             // equal for equivalent states
+  std::string describe(Step step) const;  // for a trace
+  // The step in the scenario language; a comment that begins with # if the language cannot express it.
+  std::string scenarioLine(Step step) const;
 
  private:
-  enum class Room : std::uint8_t { all, half, none };
+  enum class WriteCapacity : std::uint8_t { all, half, none };  // how much of a frame a socket accepts
   struct Socket {
     Handle link;
     int server = 0;
-    bool up = false, stale = false;  // stale: closed here, a callback is still to come
-    Room room = Room::all;
-    bool told = false;               // the links know that it takes nothing
-    std::vector<std::string> going;  // parts of the frame that is half written
-    std::vector<std::string> runs;   // parts that the leaf server has whole and has not answered
-    std::string last;                // its latest answer's frame
-    std::string half;                // what is still to come of an answer that stalled
+    bool connected = false,
+         closedHere = false;  // closedHere: closed by the mixer, a callback is still pending
+    WriteCapacity writeCapacity = WriteCapacity::all;
+    bool blockReported = false;           // the links have been notified that the socket is blocked
+    std::vector<std::string> frameParts;  // parts in the frame that is being written
+    std::vector<std::string> unanswered;  // parts that the leaf server has received and not answered
+    std::string lastAnswer;               // frame of its latest answer
+    std::string restOfAnswer;             // second half of an answer of which half has arrived
   };
-  struct Watch {  // of a query, by what went over the wire, not by what the ledger says
-    int finals = 0;
-    bool asked = false, gone = false;
+  // The observations record what happens on the wire, independently of the state of the mixer.
+  struct QueryObservation {
+    int finalAnswers = 0;
+    bool submitted = false, clientGone = false;
     Handle handle;
   };
-  struct PartWatch {
-    int begun = 0;
-    std::vector<std::pair<std::uint64_t, Micros>> mayHaveRun;  // attempts
+  struct PartObservation {
+    int sendsBegun = 0;
+    std::vector<std::pair<std::uint64_t, Micros>> mayHaveRun;  // attempt handle, time of sending
   };
-  struct Trip {  // an attempt that the leaf side holds
+  struct AttemptObservation {  // an attempt that the leaf side has not ended yet
     std::string part;
-    bool begun = false, whole = false;
+    bool sendBegun = false, sendComplete = false;
   };
   static void digestSocket(net::Digest& to, const Socket& s);
-  struct Side;  // the leaf side as the ledger sees it
+  struct LeafSideAdapter;  // receives the commands for the leaf side
 
-  void begin();
-  void settle();
-  void carry();
-  void pump();
-  void write(Socket& s);
-  void beginFrame(const std::vector<Handle>& attempts, Socket& s);
-  void ended(net::Links::Ended& end);
-  void final(Handle query, const net::FinalAnswer& answer);
-  void member(int server, ServerState state, std::int64_t sinceMs);
-  void inspect();
-  void breaks(const char* property, std::string what);
-  std::optional<net::Ledger::Sight::Part> partAt(Step step) const;
-  std::size_t queryAt(Handle handle) const;
-  void order();  // of the sockets: states alike have them alike
-  Socket* socketOf(Handle link);
+  void attach();
+  void runUntilIdle();
+  void processCommands();
+  void processEffects();
+  void writeOut(Socket& s);
+  void onFrameStart(const std::vector<Handle>& attempts, Socket& s);
+  void onAttemptEnded(net::Links::Ended& end);
+  void onFinalAnswer(Handle query, const net::FinalAnswer& answer);
+  void updateServer(int server, ServerState state, std::int64_t sinceMs);
+  void checkInvariants();
+  void reportViolation(const char* property, std::string what);
+  std::optional<net::Ledger::Sight::Part> partOf(Step step) const;
+  std::size_t queryIndex(Handle handle) const;
+  void sortSockets();  // into an order that is the same in equivalent states
+  Socket* socketFor(Handle link);
   static std::string partName(int query, int part);
   std::int64_t unixMs() const;
 
@@ -134,17 +139,17 @@
   net::Links links_;
   Micros now_ = 0;
   int ticks_ = 0, faults_ = 0, sends_ = 0, actions_ = 0;
-  bool acting_ = false, fresh_ = false;  // fresh: the module has something new to act on
-  bool due_ = false,
-       linksDue_ = false;  // a time was reached, and what the ledger or the links have due is not done
-  bool carrying_ = false, pumping_ = false;
-  std::vector<Watch> queries_;
-  std::map<std::string, PartWatch> parts_;
-  std::map<std::uint64_t, Trip> trips_;
+  bool inTurn_ = false, newEvents_ = false;  // newEvents_: there are events for the decision module
+  // Time has passed, and the timers of the ledger or of the links have not been run since.
+  bool timersDue_ = false, linksDue_ = false;
+  bool processingCommands_ = false, processingEffects_ = false;
+  std::vector<QueryObservation> queries_;
+  std::map<std::string, PartObservation> parts_;
+  std::map<std::uint64_t, AttemptObservation> attempts_;
   std::vector<Socket> sockets_;
   std::vector<ServerState> servers_;
-  std::vector<std::int64_t> since_;
-  std::optional<Broken> broken_;
+  std::vector<std::int64_t> startedMs_;  // by server: Unix time of its restart in milliseconds; 0: none
+  std::optional<Violation> violation_;
 };
 
 }  // namespace cometdeal::check
--- a/src/core/agenda.hpp
+++ b/src/core/agenda.hpp
@@ -1,4 +1,4 @@
-// What is due when, in one sorted structure of plain entries. It does no I/O and reads no clock.
+// Timer queue: plain entries sorted by due time. Does no I/O and reads no clock.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -9,18 +9,18 @@
 
 namespace cometdeal::net {
 
-template <typename What>
+template <typename Item>
 class Agenda {
  public:
-  using Key = std::pair<Micros, std::uint64_t>;
-  using Entries = std::map<Key, What>;
+  using Key = std::pair<Micros, std::uint64_t>;  // due time, sequence number
+  using Entries = std::map<Key, Item>;
 
-  Key add(Micros when, What what) {
-    const Key key{when, ++last_};
-    entries_.emplace(key, std::move(what));
+  Key add(Micros when, Item item) {
+    const Key key{when, ++lastSequence_};
+    entries_.emplace(key, std::move(item));
     return key;
   }
-  // What is already gone may be dropped again.
+  // Removes the entry, if it is still there, and clears the key. An empty key is ignored.
   void drop(std::optional<Key>& key) {
     if (key) entries_.erase(*key);
     key.reset();
@@ -29,14 +29,15 @@
     if (entries_.empty()) return std::nullopt;
     return entries_.begin()->first.first;
   }
-  // A sweep takes what is due, in order, for as long as there is any from before its mark: what is added
-  // meanwhile for `now` or earlier waits for the next sweep, so that a sweep always ends.
-  std::uint64_t mark() const { return last_; }
-  std::optional<What> takeDue(Micros now, std::uint64_t mark) {
-    for (auto at = entries_.begin(); at != entries_.end() && at->first.first <= now; ++at) {
-      if (at->first.second > mark) continue;
-      std::optional<What> out = std::move(at->second);
-      entries_.erase(at);
+  // A pass over the due entries reads mark() first and calls takeDue() with it until nothing is returned.
+  // Entries that are added during the pass, even if already due, wait for the next pass, so that every pass
+  // ends.
+  std::uint64_t mark() const { return lastSequence_; }
+  std::optional<Item> takeDue(Micros now, std::uint64_t mark) {
+    for (auto it = entries_.begin(); it != entries_.end() && it->first.first <= now; ++it) {
+      if (it->first.second > mark) continue;
+      std::optional<Item> out = std::move(it->second);
+      entries_.erase(it);
       return out;
     }
     return std::nullopt;
@@ -46,7 +47,7 @@
 
  private:
   Entries entries_;
-  std::uint64_t last_ = 0;
+  std::uint64_t lastSequence_ = 0;
 };
 
 }  // namespace cometdeal::net
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -43,10 +43,10 @@
       "phases_second_failed"};
   static constexpr std::array<const char*, static_cast<std::size_t>(Outcome::skipped) + 1> outcomes = {
       "done", "error", "busy", "timed_out", "connect_failed", "reset", "cancelled", "skipped"};
-  for (std::size_t k = 0; k < names.size(); ++k)
-    std::fprintf(to, "counter %s %" PRIu64 "\n", names[k], counts_[k]);
-  for (std::size_t k = 0; k < outcomes.size(); ++k)
-    std::fprintf(to, "counter outcome_%s %" PRIu64 "\n", outcomes[k], outcomes_[k]);
+  for (std::size_t i = 0; i < names.size(); ++i)
+    std::fprintf(to, "counter %s %" PRIu64 "\n", names[i], counts_[i]);
+  for (std::size_t i = 0; i < outcomes.size(); ++i)
+    std::fprintf(to, "counter outcome_%s %" PRIu64 "\n", outcomes[i], outcomes_[i]);
   for (const auto& [name, counts] : classes_) {
     std::fprintf(to, "counter succeeded.%s %" PRIu64 "\n", name.c_str(), counts.succeeded);
     std::fprintf(to, "counter declined.%s %" PRIu64 "\n", name.c_str(), counts.declined);
--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -1,4 +1,4 @@
-// Counts of what is taken in, sent and answered.
+// Counters of connections, queries, attempts and answers, for metrics and for the report at exit.
 #pragma once
 
 #include <array>
@@ -49,7 +49,7 @@
   number,
 };
 
-// Requests of one class by their end: served, refused, failed.
+// Ended requests of one class: served, refused and failed.
 struct ClassCounts {
   std::uint64_t succeeded = 0, declined = 0, aborted = 0;
 };
@@ -60,10 +60,10 @@
   void add(Outcome outcome) { ++outcomes_[static_cast<std::size_t>(outcome)]; }
   std::uint64_t of(Count what) const { return counts_[static_cast<std::size_t>(what)]; }
   std::uint64_t of(Outcome outcome) const { return outcomes_[static_cast<std::size_t>(outcome)]; }
-  // A class is known from its first mention on, and stays so when the settings no longer name it.
+  // Creates the counts of a class on first use. They remain when the settings no longer contain the class.
   ClassCounts& ofClass(const std::string& name) { return classes_[name]; }
   const std::map<std::string, ClassCounts>& classes() const { return classes_; }
-  // One line `counter NAME VALUE` each.
+  // Prints one line `counter NAME VALUE` for each counter.
   void print(std::FILE* to) const;
 
  private:
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -1,6 +1,6 @@
-// All deadlines of the process in one sorted structure. It does no I/O and reads no clock: the loop sweeps it
-// once a turn and sleeps until the earliest. A module that keeps an agenda of its own has its earliest entry
-// here.
+// All deadlines of the process, with the callbacks to run. Does no I/O and reads no clock: the loop runs the
+// due entries once a turn and sleeps until the earliest. A module with a timer queue of its own registers
+// only its earliest entry here (see Alarm).
 #pragma once
 
 #include <functional>
@@ -13,26 +13,27 @@
  public:
   using Key = Agenda<std::function<void()>>::Key;
 
-  Key add(Micros when, std::function<void()> act) {
-    const std::optional<Micros> first = all_.next();
-    const Key key = all_.add(when, std::move(act));
-    if ((!first || when < *first) && onEarlier) onEarlier();
+  Key add(Micros when, std::function<void()> callback) {
+    const std::optional<Micros> earliest = timers_.next();
+    const Key key = timers_.add(when, std::move(callback));
+    if ((!earliest || when < *earliest) && onEarlier) onEarlier();
     return key;
   }
-  void drop(std::optional<Key>& key) { all_.drop(key); }
-  std::optional<Micros> next() const { return all_.next(); }
+  void drop(std::optional<Key>& key) { timers_.drop(key); }
+  std::optional<Micros> next() const { return timers_.next(); }
+  // Runs the callbacks that are due and returns their number. Entries added meanwhile wait for the next call.
   int sweep(Micros now) {
-    const std::uint64_t mark = all_.mark();
+    const std::uint64_t mark = timers_.mark();
     int ran = 0;
-    for (; const auto act = all_.takeDue(now, mark); ++ran) (*act)();
+    for (; const auto callback = timers_.takeDue(now, mark); ++ran) (*callback)();
     return ran;
   }
-  std::size_t size() const { return all_.size(); }
+  std::size_t size() const { return timers_.size(); }
 
-  std::function<void()> onEarlier;  // called when a new entry is the earliest
+  std::function<void()> onEarlier;  // called when a new entry is due before all others
 
  private:
-  Agenda<std::function<void()>> all_;
+  Agenda<std::function<void()>> timers_;
 };
 
 }  // namespace cometdeal::net
--- a/src/core/digest.hpp
+++ b/src/core/digest.hpp
@@ -1,5 +1,5 @@
-// Collects what tells two states apart, for the checker: plain bytes, in an order that does not depend on
-// addresses. Times go in relative to now, so that states that differ only in when they came about are one.
+// Serializes a state for the model checker: equal states give equal bytes, independent of memory addresses.
+// Times are stored relative to now, so that states that differ only in when they were reached are equal.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -25,7 +25,7 @@
     bytes_.append(text);
     return *this;
   }
-  Digest& time(Micros at) { return *this << (at - now_); }
+  Digest& time(Micros when) { return *this << (when - now_); }
   std::string& bytes() { return bytes_; }
 
  private:
--- a/src/core/flow.hpp
+++ b/src/core/flow.hpp
@@ -1,10 +1,11 @@
-// What comes in pieces: fields ahead, bytes, fields behind. One side writes, one reads, or several while it
-// is kept whole; nobody waits. Both ends live on the loop's strand. No I/O, and no protocol's words.
+// A message that arrives in pieces: header fields, body bytes, trailer fields. It has one writer and one
+// reader, or several readers while everything is retained. No call blocks. Writer and readers run on the
+// loop's strand. No I/O, and independent of any protocol.
 //
-//   open -> ended (whole, with its tail) or broken (its writer failed); either may come before all is read
+//   open -> ended (complete, with trailers) or broken (the writer failed); both possibly before all is read
 //
-// Bounded by its writer: it looks at held() and lets its own source wait; onRoom tells when some of it is
-// gone.
+// The writer bounds the buffer: it checks held() and pauses its own source; onRoom reports that space is
+// free.
 #pragma once
 
 #include <algorithm>
@@ -25,96 +26,99 @@
  public:
   enum class State : std::uint8_t { open, ended, broken };
 
-  // `kept`: nothing is dropped until release(), so that it can be read again from its beginning.
-  explicit Flow(bool kept) : kept_(kept) {}
+  // `kept`: nothing is discarded until release(), so that the message can be read again from the beginning.
+  explicit Flow(bool kept) : retained_(kept) {}
   Flow(const Flow&) = delete;
   Flow& operator=(const Flow&) = delete;
 
-  // ---- The writer's side
-  Fields head;
+  // ---- For the writer
+  Fields head;  // header fields; set before the first push()
   void push(std::string_view bytes) {
-    if (state_ != State::open || stopped_) return;
+    if (state_ != State::open || cancelled_) return;
     bytes_.append(bytes);
-    tellMore();
+    notifyListeners();
   }
   void end(Fields tail = {}) {
     if (state_ != State::open) return;
     state_ = State::ended;
-    tail_ = std::move(tail);
-    tellMore();
+    trailers_ = std::move(tail);
+    notifyListeners();
   }
   void fail() {
     if (state_ != State::open) return;
     state_ = State::broken;
-    tellMore();
+    notifyListeners();
   }
-  std::size_t held() const { return bytes_.size() - gone_; }
-  std::function<void()> onRoom;     // some of it is gone
-  std::function<void()> onStopped;  // nobody reads it any more: what still comes is dropped
+  std::size_t held() const { return bytes_.size() - discarded_; }  // bytes in the buffer
+  std::function<void()> onRoom;                                    // some bytes were discarded
+  std::function<void()> onStopped;  // there is no reader any more; further bytes are ignored
 
-  // ---- The readers' side. Offsets count from the first byte ever pushed.
+  // ---- For readers. Offsets count from the first byte ever pushed.
   State state() const { return state_; }
-  const Fields& tail() const { return tail_; }
-  std::uint64_t length() const { return base_ + held(); }
-  std::uint64_t begin() const { return base_; }  // what lies before it is gone
-  bool whole() const { return base_ == 0; }      // all of it can still be read
-  // What lies from `offset` on; empty: nothing yet, or it is gone.
+  const Fields& tail() const { return trailers_; }
+  std::uint64_t length() const { return startOffset_ + held(); }
+  std::uint64_t begin() const { return startOffset_; }  // offset of the first byte that is still buffered
+  bool whole() const { return startOffset_ == 0; }      // nothing discarded: can be read from the beginning
+  // The buffered bytes from `offset` on; empty if none have arrived yet or that offset was discarded.
   std::string_view from(std::uint64_t offset) const {
-    if (offset < base_ || offset >= length()) return {};
-    return std::string_view(bytes_).substr(gone_ + std::size_t(offset - base_));
+    if (offset < startOffset_ || offset >= length()) return {};
+    return std::string_view(bytes_).substr(discarded_ + std::size_t(offset - startOffset_));
   }
-  // Read up to there. Dropped unless it is kept.
+  // Marks the bytes before `offset` as read and, unless the message is retained, discards them.
   void taken(std::uint64_t offset) {
-    taken_ = std::max(taken_, std::min(offset, length()));
-    if (!kept_) drop();
+    consumedOffset_ = std::max(consumedOffset_, std::min(offset, length()));
+    if (!retained_) discardConsumed();
   }
+  // Ends the retention and discards what has been read.
   void release() {
-    kept_ = false;
-    drop();
+    retained_ = false;
+    discardConsumed();
   }
-  bool kept() const { return kept_; }
+  bool kept() const { return retained_; }
+  // No reader is left: discards the buffer and everything that still arrives.
   void stop() {
-    if (std::exchange(stopped_, true)) return;
+    if (std::exchange(cancelled_, true)) return;
     bytes_.clear();
-    gone_ = 0;
+    discarded_ = 0;
     if (state_ == State::open && onStopped) onStopped();
   }
-  bool stopped() const { return stopped_; }
-  // Called at each piece and at the end, from within the writer's call: to note it, not to act on it.
-  int listen(std::function<void()> more) {
-    listeners_.emplace(++last_, std::move(more));
-    return last_;
+  bool stopped() const { return cancelled_; }
+  // Registers a callback for each new piece and for the end. It runs inside the writer's call, so it should
+  // only record the news and process it later. Returns the key for unlisten().
+  int listen(std::function<void()> callback) {
+    listeners_.emplace(++lastListener_, std::move(callback));
+    return lastListener_;
   }
   void unlisten(int key) { listeners_.erase(key); }
 
  private:
-  void tellMore() {
-    const auto listeners = listeners_;  // one of them may go while they are told
-    for (const auto& [key, more] : listeners) more();
+  void notifyListeners() {
+    const auto listeners = listeners_;  // a copy, because a callback may unregister listeners
+    for (const auto& [key, callback] : listeners) callback();
   }
-  void drop() {
-    if (taken_ <= base_) return;
-    gone_ += std::size_t(taken_ - base_);
-    base_ = taken_;
-    if (gone_ * 2 >= bytes_.size()) {
-      bytes_.erase(0, gone_);
-      gone_ = 0;
+  void discardConsumed() {
+    if (consumedOffset_ <= startOffset_) return;
+    discarded_ += std::size_t(consumedOffset_ - startOffset_);
+    startOffset_ = consumedOffset_;
+    if (discarded_ * 2 >= bytes_.size()) {
+      bytes_.erase(0, discarded_);
+      discarded_ = 0;
     }
     if (onRoom) onRoom();
   }
 
   State state_ = State::open;
-  bool kept_, stopped_ = false;
+  bool retained_, cancelled_ = false;
   std::string bytes_;
-  std::size_t gone_ = 0;    // of bytes_, dropped but not yet moved away
-  std::uint64_t base_ = 0;  // offset of the first byte that is held
-  std::uint64_t taken_ = 0;
-  Fields tail_;
+  std::size_t discarded_ = 0;         // bytes at the start of bytes_ that are discarded but not erased yet
+  std::uint64_t startOffset_ = 0;     // offset of the first byte in the buffer that is not discarded
+  std::uint64_t consumedOffset_ = 0;  // offset up to which the message has been read
+  Fields trailers_;
   std::map<int, std::function<void()>> listeners_;
-  int last_ = 0;
+  int lastListener_ = 0;
 };
 
-// Who holds it reads the flow; when the last such holder goes, its writer hears that nobody does.
+// A reader's share of the message. When the last owner releases it, the writer is notified through onStopped.
 class FlowReader {
  public:
   explicit FlowReader(std::shared_ptr<Flow> flow) : flow_(std::move(flow)) {}
@@ -128,16 +132,16 @@
   std::shared_ptr<Flow> flow_;
 };
 
-// A query whose text and answer come in pieces. Shared by its front, its attempts and the side that serves
-// it. An attempt that ends as done brings the answer's flow, which may go on coming: its query is decided
-// then, and no other attempt is made.
+// A query whose request and answer are streamed. Shared by its front, its attempts and the leaf side that
+// serves it. An attempt that ends as `done` supplies the answer, which may still be arriving: the query is
+// decided at that moment, and no further attempt is made.
 struct Exchange {
   explicit Exchange(bool kept) : request(kept) {}
   Flow request;
-  bool once = false;  // nothing that may have run is sent again, whatever its class
-  bool streamed =
-      false;  // the answer is passed on from its first fields on; otherwise it is whole before it counts
-  // The latest answer that did not count, for a front that has nothing better to give.
+  bool once = false;  // an attempt that may have run is never repeated, whatever the class
+  // true: the answer is forwarded as it arrives; false: an attempt succeeds only when its answer is complete.
+  bool streamed = false;
+  // The latest answer of an attempt that did not succeed, for a front that has no better answer to return.
   std::shared_ptr<FlowReader> lastFailure;
 };
 
--- a/src/core/ledger.cpp
+++ b/src/core/ledger.cpp
@@ -5,80 +5,82 @@
 namespace cometdeal::net {
 namespace {
 
-// The module answers some ticks ahead of a query's end; what it left open this long before it is answered
-// here.
+// The decision module answers each query several ticks before its deadline. A query that is still open this
+// long before its deadline is failed by the backstop.
 constexpr Micros kBackstopMargin = 6'000;
-// A phase ends so many ticks, and so much for the way to the client, ahead of the time it is to be over by.
-constexpr int kPhaseTicks = 3;
-constexpr Micros kPhaseMargin = 5'000;
+// A phase ends this many ticks, plus a margin for delivery to the client, before the time by which it must be
+// over.
+constexpr int kPhaseMarginTicks = 3;
+constexpr Micros kPhaseDeliveryMargin = 5'000;
 
 std::string partId(const std::string& query, int shard) { return query + "." + std::to_string(shard); }
 
 }  // namespace
 
 std::vector<Event> Ledger::takeEvents() {
-  for (const Handle h : std::exchange(toJudge_, {})) judge(h);
+  for (const Handle h : std::exchange(evaluationQueue_, {})) evaluatePhase(h);
   std::vector<Event> out = std::exchange(events_, {});
   for (Event& event : out)
     if (auto* query = std::get_if<QueryArrived>(&event)) query->timeLeft -= now_;
   return out;
 }
 
-Ledger::Taken Ledger::submit(NewQuery asked, Handle& handle) {
-  // The module knows queries and parts by one table of ids, and a client might choose the id of another's
-  // part.
-  if (byId_.contains(asked.id) || parts_.contains(asked.id)) return Taken::inUse;
-  for (const QueryPart& p : asked.parts)
-    if (byId_.contains(partId(asked.id, p.shard))) return Taken::inUse;
+Ledger::Taken Ledger::submit(NewQuery request, Handle& handle) {
+  // The decision module keeps queries and parts in one table of ids, and a client may choose an id that
+  // equals the id of another query's part.
+  if (queriesById_.contains(request.id) || partsById_.contains(request.id)) return Taken::inUse;
+  for (const QueryPart& p : request.parts)
+    if (queriesById_.contains(partId(request.id, p.shard))) return Taken::inUse;
   count(Count::queriesTaken);
-  if (rules_->settings.maxOpen && held_ >= *rules_->settings.maxOpen) {
+  if (rules_->settings.maxOpen && openUnits_ >= *rules_->settings.maxOpen) {
     count(Count::queriesFull);
-    countEnd(asked.cls, FinalAnswer::Kind::refused);
+    countQueryEnd(request.cls, FinalAnswer::Kind::refused);
     return Taken::full;
   }
   handle = queries_.add();
   Query& q = *queries_.get(handle);
-  q.asked = std::move(asked);
-  const bool ownText = q.asked.plan && !q.asked.plan->phases[0].text.empty();
-  q.text = ownText ? std::make_shared<const std::string>(q.asked.plan->phases[0].text)
-                   : std::make_shared<const std::string>(std::move(q.asked.text));
+  q.request = std::move(request);
+  const bool ownText = q.request.plan && !q.request.plan->phases[0].text.empty();
+  q.text = ownText ? std::make_shared<const std::string>(q.request.plan->phases[0].text)
+                   : std::make_shared<const std::string>(std::move(q.request.text));
   q.group = ++lastGroup_;
-  byId_[q.asked.id] = handle;
+  queriesById_[q.request.id] = handle;
   ++openQueries_;
-  held_ += 1 + int(q.asked.parts.size());
+  openUnits_ += 1 + int(q.request.parts.size());
   if (!PLANTED(lateBackstop))
-    q.backstop = agenda_.add(q.asked.until - kBackstopMargin, {Due::Kind::backstop, handle});
+    q.backstop = timers_.add(q.request.until - kBackstopMargin, {Timer::Kind::backstop, handle});
 
   QueryArrived event;
-  event.id = q.asked.id;
+  event.id = q.request.id;
   event.group = q.group;
-  event.cls = q.asked.cls;
-  event.parts = int(q.asked.parts.size());
-  event.timeLeft = q.asked.until;  // made a span when the turn begins
-  event.key = q.asked.key;
-  event.repeated = q.asked.repeated;
-  if (q.asked.plan) {
+  event.cls = q.request.cls;
+  event.parts = int(q.request.parts.size());
+  event.timeLeft = q.request.until;  // takeEvents() converts this time to a duration
+  event.key = q.request.key;
+  event.repeated = q.request.repeated;
+  if (q.request.plan) {
     const ClassSettings& cls = classOf(q);
-    // Of a later try of a client only what is left is known: its aim counts from the first.
-    const Micros left = q.asked.until - now_;
-    const Micros spent = q.asked.repeated ? std::max<Micros>(0, cls.deadline - left) : 0;
-    q.phased = Phased{};
-    q.phased->begun = q.phased->stepBegun = now_;
-    q.phased->aim = now_ + std::max<Micros>(0, cls.aim - spent);
-    q.phased->firstParts = q.asked.parts.size();
-    toJudge(handle, q);
+    // When a client repeats a query, only the remaining time is known. The aim counts from the client's first
+    // request, so the time already spent is deducted.
+    const Micros left = q.request.until - now_;
+    const Micros spent = q.request.repeated ? std::max<Micros>(0, cls.deadline - left) : 0;
+    q.phaseState = PhaseState{};
+    q.phaseState->startedAt = q.phaseState->stepStartedAt = now_;
+    q.phaseState->aim = now_ + std::max<Micros>(0, cls.aim - spent);
+    q.phaseState->firstParts = q.request.parts.size();
+    queueEvaluation(handle, q);
   }
-  for (const QueryPart& p : q.asked.parts) {
+  for (const QueryPart& p : q.request.parts) {
     Part part;
-    part.id = partId(q.asked.id, p.shard);
+    part.id = partId(q.request.id, p.shard);
     part.shard = p.shard;
     part.weight = p.weight;
-    parts_[part.id] = {handle, q.parts.size()};
+    partsById_[part.id] = {handle, q.parts.size()};
     q.parts.push_back(std::move(part));
   }
-  if (q.phased) {
-    event.timeLeft = times(q).until;
-    event.terms = terms(q);
+  if (q.phaseState) {
+    event.timeLeft = phaseTimes(q).until;
+    event.terms = stepTerms(q);
   }
   push(std::move(event));
   for (const Part& p : q.parts) push(PartArrived{p.id, q.group, p.shard, p.weight});
@@ -89,69 +91,71 @@
   Query* q = queries_.get(h);
   if (!q || (q->ended && !PLANTED(answerTwice))) return;
   count(Count::clientsGone);
-  push(ClientGone{q->asked.id});
+  push(ClientGone{q->request.id});
   finish(h, {}, PLANTED(answerTwice));
 }
 
-// Until when a further attempt of the part may begin: what may have run is not sent again, or, in a keyed
-// class, only while leaf servers drop repeats.
-Micros Ledger::repeatsUntil(const Query& q, const Part& part) const {
+// The time until which a further attempt of the part may begin. A part that may have run on a leaf server is
+// not sent again unless its class is safe; in a keyed class it is sent again only while leaf servers drop
+// repeats.
+Micros Ledger::retryAllowedUntil(const Query& q, const Part& part) const {
   const ClassSettings& cls = classOf(q);
-  // A class that has only now become keyed may be asked without a key: nobody could drop a repeat.
-  const bool once = (q.asked.exchange && q.asked.exchange->once) ||
-                    (cls.effect == Effect::keyed && !q.asked.idempotencyKey && !q.asked.exchange);
-  if ((cls.effect == Effect::safe && !once) || PLANTED(keyedAgain)) return INT64_MAX;
-  for (const Try& t : part.tries)
-    if (t.mayHaveRun)
-      return cls.effect == Effect::keyed && !once ? t.sentAt + cls.repeatWindow.value_or(0) : 0;
+  // A class that has recently become keyed may still receive queries without a key; leaf servers cannot
+  // recognize repeats of those.
+  const bool atMostOnce = (q.request.exchange && q.request.exchange->once) ||
+                          (cls.effect == Effect::keyed && !q.request.idempotencyKey && !q.request.exchange);
+  if ((cls.effect == Effect::safe && !atMostOnce) || PLANTED(keyedAgain)) return INT64_MAX;
+  for (const AttemptRecord& record : part.attempts)
+    if (record.mayHaveRun)
+      return cls.effect == Effect::keyed && !atMostOnce ? record.sentAt + cls.repeatWindow.value_or(0) : 0;
   return INT64_MAX;
 }
 
-// Whether one more attempt keeps the rules, whatever the module thinks.
-bool Ledger::mayTry(const Query& q, const Part& part) const {
-  const std::optional<int> most = rules_->settings.maxAttempts;
-  if (most && int(part.tries.size()) >= *most && !PLANTED(keyedAgain)) return false;
-  // What its front could not keep whole can't be said again.
-  if (!part.tries.empty() && q.asked.exchange && !q.asked.exchange->request.whole()) return false;
-  return now_ < repeatsUntil(q, part);
+// Whether the rules allow one more attempt; checked independently of the decision module.
+bool Ledger::mayAttempt(const Query& q, const Part& part) const {
+  const std::optional<int> maximum = rules_->settings.maxAttempts;
+  if (maximum && int(part.attempts.size()) >= *maximum && !PLANTED(keyedAgain)) return false;
+  // A request that the front could not retain in full cannot be sent again.
+  if (!part.attempts.empty() && q.request.exchange && !q.request.exchange->request.whole()) return false;
+  return now_ < retryAllowedUntil(q, part);
 }
 
 void Ledger::act(const Send& a) {
-  const auto at = parts_.find(a.part);
-  Query* q = at == parts_.end() ? nullptr : queries_.get(at->second.first);
-  if (!q) return defect("a send of what is not held", a.part);
-  const std::size_t index = at->second.second;
+  const auto it = partsById_.find(a.part);
+  Query* q = it == partsById_.end() ? nullptr : queries_.get(it->second.first);
+  if (!q) return defect("the module sends an unknown part", a.part);
+  const std::size_t index = it->second.second;
   Part& part = q->parts[index];
-  const int number = int(part.tries.size());
-  if (q->ended || part.done || index < q->stepBegin || !mayTry(*q, part)) {
-    part.tries.push_back({Handle{}, now_, false});
+  const int number = int(part.attempts.size());
+  if (q->ended || part.done || index < q->stepFirstPart || !mayAttempt(*q, part)) {
+    part.attempts.push_back({Handle{}, now_, false});
     counters_->add(Outcome::skipped);
     push(AttemptEnded{a.part, number, Outcome::skipped, a.server, 0, std::nullopt});
     return;
   }
   count(Count::sends);
-  const Micros startBy = repeatsUntil(*q, part);
+  const Micros startBy = retryAllowedUntil(*q, part);
   const Handle h = attempts_.add();
   Attempt& attempt = *attempts_.get(h);
-  attempt = {at->second.first, index, number, a.server, now_, true, std::nullopt};
-  part.tries.push_back({h, now_, true});
-  ++q->triesOut;
-  const Micros until = a.timeout > 0 ? std::min(q->asked.until, now_ + a.timeout) : q->asked.until;
-  attempt.timeout = agenda_.add(until, {Due::Kind::timeout, h});
-  Call call{h, part.id, part.shard, {}, q->text, until, startBy, number, q->asked.exchange};
-  if (q->asked.idempotencyKey && rules_->host.classKeyed[std::size_t(q->asked.cls)])
-    call.list += ",k=" + *q->asked.idempotencyKey;
-  if (q->step == 2) call.list += ",from=" + q->from + ",whole=" + (q->firstWhole ? "1" : "0");
-  auto calls = std::ranges::find(calls_, a.server, [](const auto& entry) { return entry.first; });
-  if (calls == calls_.end()) calls = calls_.insert(calls_.end(), {a.server, {}});
+  attempt = {it->second.first, index, number, a.server, now_, true, std::nullopt};
+  part.attempts.push_back({h, now_, true});
+  ++q->attemptsOutstanding;
+  const Micros until = a.timeout > 0 ? std::min(q->request.until, now_ + a.timeout) : q->request.until;
+  attempt.timeout = timers_.add(until, {Timer::Kind::timeout, h});
+  Call call{h, part.id, part.shard, {}, q->text, until, startBy, number, q->request.exchange};
+  if (q->request.idempotencyKey && rules_->host.classKeyed[std::size_t(q->request.cls)])
+    call.list += ",k=" + *q->request.idempotencyKey;
+  if (q->step == 2) call.list += ",from=" + q->firstStepShards + ",whole=" + (q->firstComplete ? "1" : "0");
+  auto calls = std::ranges::find(turnCalls_, a.server, [](const auto& entry) { return entry.first; });
+  if (calls == turnCalls_.end()) calls = turnCalls_.insert(turnCalls_.end(), {a.server, {}});
   calls->second.push_back(std::move(call));
 }
 
 void Ledger::flushCalls() {
-  for (auto& [server, calls] : std::exchange(calls_, {})) {
+  for (auto& [server, calls] : std::exchange(turnCalls_, {})) {
     std::erase_if(calls, [&](const Call& call) {
-      Attempt* attempt = attempts_.get(call.attempt);  // none: given up in this turn
-      if (attempt) attempt->kept = false;
+      Attempt* attempt = attempts_.get(call.attempt);  // null: abandoned in this turn
+      if (attempt) attempt->unsent = false;
       return !attempt;
     });
     if (!calls.empty()) commands_.push_back(SendCalls{server, std::move(calls)});
@@ -159,12 +163,12 @@
 }
 
 void Ledger::act(const Cancel& a) {
-  const auto at = parts_.find(a.part);
-  const Query* q = at == parts_.end() ? nullptr : queries_.get(at->second.first);
+  const auto it = partsById_.find(a.part);
+  const Query* q = it == partsById_.end() ? nullptr : queries_.get(it->second.first);
   if (!q) return;
-  const std::vector<Try>& tries = q->parts[at->second.second].tries;
-  if (a.attempt < 0 || std::size_t(a.attempt) >= tries.size()) return;
-  const Handle h = tries[std::size_t(a.attempt)].attempt;
+  const std::vector<AttemptRecord>& attempts = q->parts[it->second.second].attempts;
+  if (a.attempt < 0 || std::size_t(a.attempt) >= attempts.size()) return;
+  const Handle h = attempts[std::size_t(a.attempt)].attempt;
   if (!attempts_.get(h)) return;
   count(Count::cancels);
   commands_.push_back(GiveUp{h});
@@ -172,9 +176,9 @@
 }
 
 Ledger::Query* Ledger::openQuery(const std::string& id, Handle& h) {
-  const auto at = byId_.find(id);
-  if (at == byId_.end()) return nullptr;
-  h = at->second;
+  const auto it = queriesById_.find(id);
+  if (it == queriesById_.end()) return nullptr;
+  h = it->second;
   Query* q = queries_.get(h);
   return q && (!q->ended || PLANTED(answerTwice)) ? q : nullptr;
 }
@@ -183,15 +187,15 @@
   Handle h;
   Query* q = openQuery(a.query, h);
   if (!q) return;
-  if (q->phased) {
-    q->phased->stuck = true;
-    return judge(h);
+  if (q->phaseState) {
+    q->phaseState->exhausted = true;
+    return evaluatePhase(h);
   }
   if (q->step == 1 && classOf(*q).followUp > 0) return beginSecondStep(h, *q, a.whole);
-  finish(h, served(*q, q->stepBegin, q->parts.size(), a.whole));
+  finish(h, servedAnswer(*q, q->stepFirstPart, q->parts.size(), a.whole));
 }
 
-FinalAnswer Ledger::served(Query& q, std::size_t from, std::size_t to, bool whole) {
+FinalAnswer Ledger::servedAnswer(Query& q, std::size_t from, std::size_t to, bool whole) {
   FinalAnswer answer;
   answer.kind = FinalAnswer::Kind::served;
   answer.whole = whole;
@@ -219,271 +223,278 @@
 }
 
 int Ledger::openParts(const Query& q) {
-  return int(std::count_if(q.parts.begin() + std::ptrdiff_t(q.stepBegin), q.parts.end(),
+  return int(std::count_if(q.parts.begin() + std::ptrdiff_t(q.stepFirstPart), q.parts.end(),
                            [](const Part& p) { return !p.done; }));
 }
 
-std::vector<phases::Seen> Ledger::seen(const Query& q) const {
+std::vector<phases::Seen> Ledger::stepParts(const Query& q) const {
   std::vector<phases::Seen> out;
-  for (std::size_t k = q.stepBegin; k < q.parts.size(); ++k) {
+  for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k) {
     const Part& p = q.parts[k];
     out.push_back({p.shard, p.weight, p.done, p.score});
   }
   return out;
 }
 
-// The platform's second step: the shards with the highest scores among those that are in, as many as its
-// class says.
+// Starts the second step of a class without a phase plan: fetches from the `followUp` shards with the highest
+// scores among those that have answered.
 void Ledger::beginSecondStep(Handle h, Query& q, bool whole) {
   phases::Phase fetch;
   fetch.prune.rule = phases::Rule::top;
   fetch.prune.most = classOf(q).followUp;
-  const phases::Picked picked = phases::pick(fetch, seen(q));
-  if (picked.keep.empty()) return defect("an answer without any part", q.asked.id);
+  const phases::Picked picked = phases::pick(fetch, stepParts(q));
+  if (picked.keep.empty())
+    return defect("the module answers a query of which no part is answered", q.request.id);
   beginStep(h, q, picked.keep, whole);
 }
 
-// `ask`: places among the first step's parts.
+// `ask`: indices into the parts of the first step.
 void Ledger::beginStep(Handle h, Query& q, const std::vector<std::size_t>& ask, bool whole) {
-  std::vector<int> in;
+  std::vector<int> answered;
   for (const Part& p : q.parts)
-    if (p.done) in.push_back(p.shard);
-  std::ranges::sort(in);
-  for (const int shard : in) q.from += (q.from.empty() ? "" : "+") + std::to_string(shard);
+    if (p.done) answered.push_back(p.shard);
+  std::ranges::sort(answered);
+  for (const int shard : answered)
+    q.firstStepShards += (q.firstStepShards.empty() ? "" : "+") + std::to_string(shard);
   q.step = 2;
-  q.firstWhole = whole;
-  held_ += int(ask.size()) - openParts(q);
-  q.stepBegin = q.parts.size();
+  q.firstComplete = whole;
+  openUnits_ += int(ask.size()) - openParts(q);
+  q.stepFirstPart = q.parts.size();
   q.parts.reserve(q.parts.size() + ask.size());
-  for (const std::size_t at : ask) {
-    const Part& first = q.parts[at];
+  for (const std::size_t index : ask) {
+    const Part& first = q.parts[index];
     Part part;
-    part.id = q.asked.id + "." + std::to_string(first.shard) + ".fetch";
+    part.id = q.request.id + "." + std::to_string(first.shard) + ".fetch";
     part.shard = first.shard;
-    part.weight = q.phased ? first.weight : 1.0 / double(ask.size());
+    part.weight = q.phaseState ? first.weight : 1.0 / double(ask.size());
     part.server = first.server;
-    parts_[part.id] = {h, q.parts.size()};
+    partsById_[part.id] = {h, q.parts.size()};
     q.parts.push_back(std::move(part));
   }
-  if (q.phased) push(StepBegan{q.asked.id, int(ask.size()), terms(q)});
-  // Who answered the first phase has what the second needs at hand.
-  for (std::size_t k = q.stepBegin; k < q.parts.size(); ++k) {
+  if (q.phaseState) push(StepBegan{q.request.id, int(ask.size()), stepTerms(q)});
+  // In queries in phases, the server that answered a part in the first phase has the data for the second
+  // phase at hand, so the module is asked to prefer it.
+  for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k) {
     const Part& p = q.parts[k];
-    push(PartArrived{p.id, q.group, p.shard, p.weight, q.phased ? p.server : std::string()});
+    push(PartArrived{p.id, q.group, p.shard, p.weight, q.phaseState ? p.server : std::string()});
   }
 }
 
 // ---- Queries in phases -----------------------------------------------------------------------------------
 
-phases::Times Ledger::times(const Query& q) const {
+phases::Times Ledger::phaseTimes(const Query& q) const {
   const ClassSettings& cls = classOf(q);
-  // Where an answer after the aim is worth nothing, the aim is the end.
-  const Micros until = cls.lateShare > 0 ? q.asked.until : std::min(q.asked.until, q.phased->aim);
-  const Micros margin = kPhaseTicks * rules_->settings.tick + kPhaseMargin;
-  return {now_, q.phased->begun, std::min(q.phased->aim, until), until, margin};
+  // If an answer after the aim is worth nothing, the aim is the deadline.
+  const Micros until = cls.lateShare > 0 ? q.request.until : std::min(q.request.until, q.phaseState->aim);
+  const Micros margin = kPhaseMarginTicks * rules_->settings.tick + kPhaseDeliveryMargin;
+  return {now_, q.phaseState->startedAt, std::min(q.phaseState->aim, until), until, margin};
 }
 
 phases::Needs Ledger::needs(const Query& q) const {
   return [this, &q](int phase, std::size_t parts, double chance) {
-    return phaseNeeds ? phaseNeeds(q.asked.id, phase, parts, chance)
-                      : latencies_.allIn(q.asked.cls, phase, parts, chance, now_);
+    return phaseNeeds ? phaseNeeds(q.request.id, phase, parts, chance)
+                      : latencies_.allIn(q.request.cls, phase, parts, chance, now_);
   };
 }
 
-// Of the present step, whose parts are there.
-StepTerms Ledger::terms(const Query& q) const {
+// Terms of the current step, whose parts have already been created.
+StepTerms Ledger::stepTerms(const Query& q) const {
   const int phase = q.step - 1;
-  const std::size_t parts = q.parts.size() - q.stepBegin;
-  const phases::Plan& plan = *q.asked.plan;
-  const phases::Times t = times(q);
-  const Micros by = phase == 0 ? phases::firstBy(plan, parts, t, needs(q)) : phases::secondBy(t);
+  const std::size_t parts = q.parts.size() - q.stepFirstPart;
+  const phases::Plan& plan = *q.request.plan;
+  const phases::Times times = phaseTimes(q);
+  const Micros endBy = phase == 0 ? phases::firstBy(plan, parts, times, needs(q)) : phases::secondBy(times);
   double asked = 0;
-  for (std::size_t k = q.stepBegin; k < q.parts.size(); ++k) asked += q.parts[k].weight;
-  return {std::max<Micros>(1, by - now_), phases::leastOf(plan, phase) * asked,
+  for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k) asked += q.parts[k].weight;
+  return {std::max<Micros>(1, endBy - now_), phases::leastOf(plan, phase) * asked,
           phase == 1 && plan.phases[1].maySkip};
 }
 
-void Ledger::toJudge(Handle h, Query& q) {
-  if (std::exchange(q.phased->queued, true)) return;
-  toJudge_.push_back(h);
+void Ledger::queueEvaluation(Handle h, Query& q) {
+  if (std::exchange(q.phaseState->evaluationQueued, true)) return;
+  evaluationQueue_.push_back(h);
 }
 
-// What was not waited for would have taken longer still.
-void Ledger::learnCutOff(const Query& q) {
-  for (std::size_t k = q.stepBegin; k < q.parts.size(); ++k)
-    if (!q.parts[k].done && !q.parts[k].tries.empty())
-      latencies_.add(q.asked.cls, q.step - 1, now_ - q.phased->stepBegun, now_, true);
+// Records the time waited so far for parts that were sent and did not answer, as a lower bound of their
+// latency.
+void Ledger::recordCutOffLatencies(const Query& q) {
+  for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k)
+    if (!q.parts[k].done && !q.parts[k].attempts.empty())
+      latencies_.add(q.request.cls, q.step - 1, now_ - q.phaseState->stepStartedAt, now_, true);
 }
 
-// The one place where a phase ends.
-void Ledger::judge(Handle h) {
+// Decides whether the current phase ends. No other function ends a phase.
+void Ledger::evaluatePhase(Handle h) {
   Query* q = queries_.get(h);
   if (!q || q->ended) return;
-  Phased& phased = *q->phased;
-  phased.queued = false;
-  agenda_.drop(phased.look);
-  const phases::Plan& plan = *q->asked.plan;
-  const phases::Sight sight{q->step - 1, seen(*q), phased.stuck};
-  phases::Step step = phases::next(plan, sight, times(*q), needs(*q));
-  if (PLANTED(shortAnswer) && phased.stuck && step.kind == phases::Step::Kind::stay)
+  PhaseState& state = *q->phaseState;
+  state.evaluationQueued = false;
+  timers_.drop(state.evaluationTimer);
+  const phases::Plan& plan = *q->request.plan;
+  const phases::Sight sight{q->step - 1, stepParts(*q), state.exhausted};
+  phases::Step step = phases::next(plan, sight, phaseTimes(*q), needs(*q));
+  if (PLANTED(shortAnswer) && state.exhausted && step.kind == phases::Step::Kind::stay)
     step.kind = phases::Step::Kind::answer;
   using Kind = phases::Step::Kind;
-  if (step.kind == Kind::wait && !phased.stuck) {
-    if (step.at < phases::kNever) phased.look = agenda_.add(step.at, {Due::Kind::phase, h});
+  if (step.kind == Kind::wait && !state.exhausted) {
+    if (step.at < phases::kNever) state.evaluationTimer = timers_.add(step.at, {Timer::Kind::phase, h});
     return;
   }
-  learnCutOff(*q);
+  recordCutOffLatencies(*q);
   if (q->step == 1) {
-    phased.account.firstEnds(plan, sight.parts, step);
+    state.account.firstEnds(plan, sight.parts, step);
     if (step.how == phases::Step::How::early) count(Count::firstsEarly);
     if (step.second == phases::Step::Second::skipped) count(Count::secondsSkipped);
   } else {
-    phased.account.secondEnds(sight.parts, step);
+    state.account.secondEnds(sight.parts, step);
     if (step.second == phases::Step::Second::failed) count(Count::secondsFailed);
   }
   if (step.kind == Kind::second) {
     const bool cut = step.second == phases::Step::Second::cut;
     count(cut ? Count::secondsCut : Count::secondsWhole);
-    phased.stuck = false;
-    phased.stepBegun = now_;
+    state.exhausted = false;
+    state.stepStartedAt = now_;
     if (!plan.phases[1].text.empty())
       q->text = std::make_shared<const std::string>(plan.phases[1].text);
-    else if (!plan.phases[0].text.empty())  // the query's own was kept for this
-      q->text = std::make_shared<const std::string>(q->asked.text);
-    beginStep(h, *q, step.ask, sight.parts.size() == std::size_t(phased.account.phases[0].in));
-    return toJudge(h, *q);
+    else if (!plan.phases[0].text.empty())  // the first phase had a text of its own; now use the query's
+      q->text = std::make_shared<const std::string>(q->request.text);
+    beginStep(h, *q, step.ask, sight.parts.size() == std::size_t(state.account.phases[0].in));
+    return queueEvaluation(h, *q);
   }
-  FinalAnswer answer;  // failed: the module has nothing more to come, and what is in is no answer
+  // Stays a failure if no further answers are expected and those that arrived are not enough for an answer.
+  FinalAnswer answer;
   if (step.kind == Kind::answer) {
-    const std::size_t from = step.fromSecond ? q->stepBegin : 0;
-    answer =
-        served(*q, from, step.fromSecond ? q->parts.size() : phased.firstParts, phased.account.exact(plan));
-    answer.account = std::make_shared<const phases::Account>(phased.account);
+    const std::size_t from = step.fromSecond ? q->stepFirstPart : 0;
+    answer = servedAnswer(*q, from, step.fromSecond ? q->parts.size() : state.firstParts,
+                          state.account.exact(plan));
+    answer.account = std::make_shared<const phases::Account>(state.account);
   } else {
     count(Count::failed);
   }
-  push(ClientGone{q->asked.id});
+  push(ClientGone{q->request.id});
   finish(h, std::move(answer));
 }
 
-// The one place where an attempt ends.
+// Every attempt ends here, except those removed by an injected fault.
 void Ledger::ended(Handle h, Outcome outcome, LeafAnswer answer) {
   Attempt* attempt = attempts_.get(h);
-  if (!attempt) return;  // it ended in another way before
-  agenda_.drop(attempt->timeout);
+  if (!attempt) return;  // has already ended
+  timers_.drop(attempt->timeout);
   counters_->add(outcome);
-  const Attempt was = *attempt;
+  const Attempt endedAttempt = *attempt;
   attempts_.remove(h);
-  Query* q = queries_.get(was.query);
+  Query* q = queries_.get(endedAttempt.query);
   if (!q) return;
-  Part& part = q->parts[was.part];
-  part.tries[std::size_t(was.number)].mayHaveRun =
+  Part& part = q->parts[endedAttempt.part];
+  part.attempts[std::size_t(endedAttempt.number)].mayHaveRun =
       outcome != Outcome::busy && outcome != Outcome::connectFailed && outcome != Outcome::skipped;
-  if (outcome == Outcome::done && !part.done && !q->ended && was.part >= q->stepBegin) {
+  if (outcome == Outcome::done && !part.done && !q->ended && endedAttempt.part >= q->stepFirstPart) {
     part.done = true;
-    --held_;  // what is in is held no longer: to count it refuses queries that there is room for
-    part.server = was.server;
-    if (q->phased) {
-      latencies_.add(q->asked.cls, q->step - 1, now_ - q->phased->stepBegun, now_);
-      toJudge(was.query, *q);
+    --openUnits_;  // counting answered parts would reject queries although there is capacity for them
+    part.server = endedAttempt.server;
+    if (q->phaseState) {
+      latencies_.add(q->request.cls, q->step - 1, now_ - q->phaseState->stepStartedAt, now_);
+      queueEvaluation(endedAttempt.query, *q);
     }
     part.score = answer.score;
     part.value = std::move(answer.value);
     part.reply = std::move(answer.reply);
   } else if (answer.reply && !q->ended) {
-    q->asked.exchange->lastFailure = std::move(answer.reply);
+    q->request.exchange->lastFailure = std::move(answer.reply);
   }
-  push(AttemptEnded{part.id, was.number, outcome, was.server, now_ - was.sentAt, answer.load});
-  --q->triesOut;
-  settle(was.query);
+  push(AttemptEnded{part.id, endedAttempt.number, outcome, endedAttempt.server, now_ - endedAttempt.sentAt,
+                    answer.load});
+  --q->attemptsOutstanding;
+  releaseIfSettled(endedAttempt.query);
 }
 
-// The one place where a query gets its final answer. What no byte of is out is taken back first, so that
-// nothing of it goes out after the answer, whether the module cancels it or not.
-void Ledger::finish(Handle h, FinalAnswer answer, bool tell) {
+// Every query gets its final answer here. Attempts of which no byte has been sent are withdrawn first, so
+// that nothing is sent after the answer, whether or not the decision module cancels them.
+void Ledger::finish(Handle h, FinalAnswer answer, bool report) {
   Query& q = *queries_.get(h);
   if (!q.ended) {
     --openQueries_;
-    held_ -= 1 + openParts(q);
-    countEnd(q.asked.cls, answer.kind);
+    openUnits_ -= 1 + openParts(q);
+    countQueryEnd(q.request.cls, answer.kind);
   }
   q.ended = true;
-  agenda_.drop(q.backstop);
-  if (q.phased && !PLANTED(lookAfterEnd)) agenda_.drop(q.phased->look);
-  std::vector<Handle> kept;
+  timers_.drop(q.backstop);
+  if (q.phaseState && !PLANTED(lookAfterEnd)) timers_.drop(q.phaseState->evaluationTimer);
+  std::vector<Handle> unsent;
   for (Part& p : q.parts) {
     p.reply.reset();
-    for (const Try& t : p.tries) {
-      answer.mayHaveRun = answer.mayHaveRun || t.mayHaveRun;
-      const Attempt* attempt = attempts_.get(t.attempt);
+    for (const AttemptRecord& record : p.attempts) {
+      answer.mayHaveRun = answer.mayHaveRun || record.mayHaveRun;
+      const Attempt* attempt = attempts_.get(record.attempt);
       if (!attempt || attempt->query != h) continue;
-      if (attempt->kept)
-        kept.push_back(t.attempt);
+      if (attempt->unsent)
+        unsent.push_back(record.attempt);
       else
-        commands_.push_back(Withdraw{t.attempt});
+        commands_.push_back(Withdraw{record.attempt});
     }
   }
-  if (tell) commands_.push_back(Final{h, std::move(answer)});
-  for (const Handle one : kept) {
+  if (report) commands_.push_back(Final{h, std::move(answer)});
+  for (const Handle one : unsent) {
     count(Count::withdrawn);
     if (PLANTED(leakOnWithdraw))
       attempts_.remove(one);
     else
       ended(one, Outcome::cancelled, {});
   }
-  settle(h);
+  releaseIfSettled(h);
 }
 
-// A query's slot stays until its last attempt has ended.
-void Ledger::settle(Handle h) {
+// Frees the slot of a query once it has ended and its last attempt has ended.
+void Ledger::releaseIfSettled(Handle h) {
   const Query* q = queries_.get(h);
-  if (!q || !q->ended || q->triesOut > 0) return;
+  if (!q || !q->ended || q->attemptsOutstanding > 0) return;
   for (const Part& p : q->parts) {
     commands_.push_back(Forget{p.id});
-    parts_.erase(p.id);
+    partsById_.erase(p.id);
   }
-  byId_.erase(q->asked.id);
+  queriesById_.erase(q->request.id);
   queries_.remove(h);
 }
 
 void Ledger::sweep() {
-  const std::uint64_t mark = agenda_.mark();
-  while (const std::optional<Due> due = agenda_.takeDue(now_, mark)) {
-    if (due->kind == Due::Kind::backstop) {
-      giveUpLate(due->of);
-    } else if (due->kind == Due::Kind::phase) {
-      Query* q = queries_.get(due->of);
+  const std::uint64_t mark = timers_.mark();
+  while (const std::optional<Timer> timer = timers_.takeDue(now_, mark)) {
+    if (timer->kind == Timer::Kind::backstop) {
+      failAtBackstop(timer->owner);
+    } else if (timer->kind == Timer::Kind::phase) {
+      Query* q = queries_.get(timer->owner);
       if (!q || q->ended) continue;
-      q->phased->look.reset();
-      toJudge(due->of, *q);
-    } else if (Attempt* attempt = attempts_.get(due->of)) {
+      q->phaseState->evaluationTimer.reset();
+      queueEvaluation(timer->owner, *q);
+    } else if (Attempt* attempt = attempts_.get(timer->owner)) {
       attempt->timeout.reset();
-      commands_.push_back(GiveUp{due->of});
-      ended(due->of, Outcome::timedOut, {});
+      commands_.push_back(GiveUp{timer->owner});
+      ended(timer->owner, Outcome::timedOut, {});
     }
   }
 }
 
-// Every query has its final answer before the client's time is up, whatever the module does. A refusal says
-// that nothing has run or that a repeat is harmless; here that is not known, so the query has failed.
-void Ledger::giveUpLate(Handle h) {
+// Guarantees a final answer before the client's deadline whatever the decision module does. A refusal would
+// tell the client that nothing has run or that a repeat is harmless; neither is known here, so the query
+// fails.
+void Ledger::failAtBackstop(Handle h) {
   Query* q = queries_.get(h);
   if (!q || q->ended) return;
   q->backstop.reset();
   count(Count::backstops);
-  defect("the module left a query open until its end", q->asked.id);
-  push(ClientGone{q->asked.id});
+  defect("the module left a query open until its end", q->request.id);
+  push(ClientGone{q->request.id});
   finish(h, {});
 }
 
 bool Ledger::holds(int cls) const {
-  return std::ranges::any_of(queries_.all(), [&](Handle h) { return queries_.get(h)->asked.cls == cls; });
+  return std::ranges::any_of(queries_.all(), [&](Handle h) { return queries_.get(h)->request.cls == cls; });
 }
 
-// The one place where a query's end is counted for its class. One whose client has gone has failed.
-void Ledger::countEnd(int cls, FinalAnswer::Kind kind) {
+// Counts the end of a query for its class. A query whose client has disconnected counts as failed.
+void Ledger::countQueryEnd(int cls, FinalAnswer::Kind kind) {
   const std::vector<std::string>& names = rules_->host.classNames;
-  if (std::size_t(cls) >= names.size()) return;  // the checker's worlds name none
+  if (std::size_t(cls) >= names.size()) return;  // the checker's model does not name its classes
   ClassCounts& counts = counters_->ofClass(names[std::size_t(cls)]);
   ++(kind == FinalAnswer::Kind::served    ? counts.succeeded
      : kind == FinalAnswer::Kind::refused ? counts.declined
@@ -495,17 +506,18 @@
   commands_.push_back(Defect{what, id});
 }
 
-// ---- For the checker -------------------------------------------------------------------------------------
+// ---- For the model checker -------------------------------------------------------------------------------
 
 std::vector<Ledger::Sight> Ledger::sight() const {
   std::vector<Sight> out;
   for (const Handle h : queries_.all()) {
     const Query& q = *queries_.get(h);
-    Sight s{h, q.asked.cls, q.ended, {}};
+    Sight s{h, q.request.cls, q.ended, {}};
     for (std::size_t k = 0; k < q.parts.size(); ++k) {
       const Part& p = q.parts[k];
-      Sight::Part part{p.id, p.done, k >= q.stepBegin, {}};
-      for (const Try& t : p.tries) part.live.push_back(attempts_.get(t.attempt) != nullptr);
+      Sight::Part part{p.id, p.done, k >= q.stepFirstPart, {}};
+      for (const AttemptRecord& record : p.attempts)
+        part.live.push_back(attempts_.get(record.attempt) != nullptr);
       s.parts.push_back(std::move(part));
     }
     out.push_back(std::move(s));
@@ -525,38 +537,39 @@
 }
 
 Ledger::Sums Ledger::sums() const {
-  return {queries_.size(), attempts_.size(), byId_.size() + parts_.size(), agenda_.size(), held_};
+  return {queries_.size(), attempts_.size(), queriesById_.size() + partsById_.size(), timers_.size(),
+          openUnits_};
 }
 
 void Ledger::digest(Digest& to) const {
   for (const Handle h : queries_.all()) {
     const Query& q = *queries_.get(h);
-    to << q.asked.id << q.asked.cls << q.ended << q.step << q.firstWhole << q.from;
-    if (q.phased) {
-      to << q.phased->stuck << q.phased->queued;
-      for (const phases::PhaseAccount& p : q.phased->account.phases) to << p.asked << p.in;
+    to << q.request.id << q.request.cls << q.ended << q.step << q.firstComplete << q.firstStepShards;
+    if (q.phaseState) {
+      to << q.phaseState->exhausted << q.phaseState->evaluationQueued;
+      for (const phases::PhaseAccount& p : q.phaseState->account.phases) to << p.asked << p.in;
     }
     for (const Part& p : q.parts) {
-      to << p.id << p.done << p.value << std::uint32_t(p.tries.size());
-      for (const Try& t : p.tries) {
-        to << t.mayHaveRun;
-        const Attempt* a = attempts_.get(t.attempt);
+      to << p.id << p.done << p.value << std::uint32_t(p.attempts.size());
+      for (const AttemptRecord& record : p.attempts) {
+        to << record.mayHaveRun;
+        const Attempt* a = attempts_.get(record.attempt);
         to << (a != nullptr);
         if (a) {
-          to << a->server << a->kept << a->timeout.has_value();
+          to << a->server << a->unsent << a->timeout.has_value();
         }
-        // When it was sent matters only to the window in which repeats are dropped.
-        if (t.mayHaveRun && classOf(q).effect == Effect::keyed)
-          to.time(std::max(t.sentAt, now_ - classOf(q).repeatWindow.value_or(0)));
+        // The time of sending matters only for the window in which leaf servers drop repeats.
+        if (record.mayHaveRun && classOf(q).effect == Effect::keyed)
+          to.time(std::max(record.sentAt, now_ - classOf(q).repeatWindow.value_or(0)));
       }
     }
   }
-  for (const auto& [key, due] : agenda_.entries()) {
-    to.time(key.first) << due.kind;
-    const Query* q = queries_.get(due.of);
-    to << (due.kind == Due::Kind::timeout ? nameOf(due.of) : q ? q->asked.id : std::string());
+  for (const auto& [key, timer] : timers_.entries()) {
+    to.time(key.first) << timer.kind;
+    const Query* q = queries_.get(timer.owner);
+    to << (timer.kind == Timer::Kind::timeout ? nameOf(timer.owner) : q ? q->request.id : std::string());
   }
-  to << std::uint32_t(attempts_.size()) << held_;
+  to << std::uint32_t(attempts_.size()) << openUnits_;
   for (const Event& event : events_) {
     to << std::uint32_t(event.index());
     if (const auto* e = std::get_if<AttemptEnded>(&event)) to << e->part << e->attempt << e->outcome;
--- a/src/core/ledger.hpp
+++ b/src/core/ledger.hpp
@@ -1,10 +1,12 @@
-// The book of queries, their parts and attempts, without I/O: what happened goes in with the time of it; what
-// the module is to hear comes out as its events, what sockets are to do as commands. `Mixer` runs on it; the
-// checker explores this same code.
+// State machine of queries, their parts and their attempts, without I/O. The caller reports what happened and
+// when; the class emits events for the decision module and commands for the leaf side and the fronts. `Mixer`
+// drives it in production, and the model checker explores the same code.
 //
-// A query:    open -> ended (its one final answer is out) -> settled (no attempt out, its slot is free)
-// An attempt: kept (its turn goes on) -> out (with the leaf side) -> ended, by the first of: the leaf side's
-//             word, its time-out, the module's cancel, the withdrawal at its query's final answer
+// Query:   open -> ended (its final answer has been issued) -> settled (no attempt outstanding, slot freed)
+// Attempt: unsent (until the turn that created it is over) -> outstanding (handed to the leaf side) -> ended
+//
+// An attempt ends by whichever comes first: the outcome that the leaf side reports, its time-out, a cancel of
+// the decision module, or the withdrawal when its query gets the final answer.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -35,77 +37,86 @@
     Settings settings;
     HostSettings host;
   };
-  // Commands, in the order to carry them out.
+  // Commands; the caller executes them in the order in which they were issued.
   struct SendCalls {
     std::string server;
     std::vector<Call> calls;
   };
-  struct GiveUp {
+  struct GiveUp {  // see LeafSide::giveUp
     Handle attempt;
   };
-  struct Withdraw {
+  struct Withdraw {  // see LeafSide::withdraw
     Handle attempt;
   };
-  struct Forget {
-    std::string id;
+  struct Forget {    // see LeafSide::forget
+    std::string id;  // of a part
   };
   struct Final {
     Handle query;
     FinalAnswer answer;
   };
-  struct Defect {
+  struct Defect {  // an internal inconsistency, to be logged
     const char* what;
-    std::string id;
+    std::string id;  // of the query or part concerned
   };
   using Command = std::variant<SendCalls, GiveUp, Withdraw, Forget, Final, Defect>;
-  enum class Taken { open, full, inUse };  // inUse: its id, or one of its parts', is held already
+  // full: the limit maxOpen is reached. inUse: the id of the query or of one of its parts is already in use.
+  enum class Taken { open, full, inUse };
 
   Ledger(std::shared_ptr<const Rules> rules, Counters* counters)
       : rules_(std::move(rules)), counters_(counters) {}
 
-  // Other settings. What is held keeps its class by its place, whose settings must stay.
+  // Replaces the settings. Open queries refer to their class by index, so the settings of a class that is
+  // still in use must stay at the same index.
   void retune(std::shared_ptr<const Rules> rules) { rules_ = std::move(rules); }
-  bool holds(int cls) const;  // a query that has not settled has this class
+  bool holds(int cls) const;  // whether a query that has not settled belongs to this class
 
-  // Every call is at the time set last, in microseconds on the loop's clock.
+  // Sets the current time, in microseconds on the loop's clock, for all calls that follow.
   void at(Micros now) { now_ = now; }
   std::vector<Command> take() { return std::exchange(commands_, {}); }
   bool quiet() const { return commands_.empty(); }
-  // What the module has not heard yet, with the time that queries have left. Queries in phases are looked at
-  // first, so that the module hears of a next phase in the turn that ended the one before.
+  // Returns the events that the decision module has not received yet, with the remaining time of new queries
+  // computed as of now. Pending phase evaluations run first, so that the module learns of a new phase in the
+  // same turn in which the previous one ended.
   std::vector<Event> takeEvents();
-  bool hasEvents() const { return !events_.empty() || !toJudge_.empty(); }
+  bool hasEvents() const { return !events_.empty() || !evaluationQueue_.empty(); }
+  // Queues an event for the decision module.
   template <typename E>
   void push(E event) {
     events_.emplace_back(std::move(event));
   }
 
+  // Opens a query and sets `handle`, or rejects it and leaves `handle` as it is.
   Taken submit(NewQuery query, Handle& handle);
-  void abandon(Handle query);  // the client has gone
+  void abandon(Handle query);  // the client has disconnected
   void act(const Send& a);
   void act(const Cancel& a);
   void act(const Answer& a);
   void act(const Refuse& a);
   void act(const Fail& a);
-  // Ends the turn's actions: sends of one turn to one server share calls, so they go out together.
+  // To be called after the last action of a turn. Issues the calls of the turn, grouped by server, because
+  // parts that go to one server in one turn may share a call.
   void flushCalls();
+  // Reports the end of an attempt. Ignored if the attempt has already ended.
   void ended(Handle attempt, Outcome outcome, LeafAnswer answer);
 
-  std::optional<Micros> next() const { return agenda_.next(); }
+  // When the earliest timer is due.
+  std::optional<Micros> next() const { return timers_.next(); }
+  // Runs the timers that are due: attempt time-outs, backstops and phase evaluations.
   void sweep();
 
   std::size_t open() const { return openQueries_; }
 
-  // In place of what has been learned of phases, for experiments: see phases::Needs.
+  // If set, replaces the learned latencies of phases, for experiments; see phases::Needs.
   std::function<std::optional<Micros>(const std::string& query, int phase, std::size_t parts, double chance)>
       phaseNeeds;
 
-  // For the checker.
+  // ---- For the model checker
   struct Sight {
     struct Part {
       std::string id;
-      bool done = false, current = true;  // current: of the present step
-      std::vector<bool> live;             // of each attempt
+      bool done = false, current = true;  // current: belongs to the current step
+      std::vector<bool> live;             // by attempt number: has not ended
     };
     Handle handle;
     int cls = 0;
@@ -114,24 +125,24 @@
   };
   std::vector<Sight> sight() const;
   Handle queryOf(Handle attempt) const;
-  std::string nameOf(Handle attempt) const;  // its part's id and number; empty: it has ended
-  struct Sums {                              // all 0 when nothing is held
+  std::string nameOf(Handle attempt) const;  // "PART_ID#NUMBER"; empty if the attempt has ended
+  struct Sums {                              // entries in each table; all 0 once every query has settled
     std::size_t queries = 0, attempts = 0, ids = 0, due = 0;
-    int held = 0;
+    int held = 0;  // queries and parts that count towards maxOpen
   };
   Sums sums() const;
   void digest(Digest& to) const;
   void countTo(Counters* counters) { counters_ = counters; }
 
  private:
-  struct Due {
+  struct Timer {
     enum class Kind : std::uint8_t { timeout, backstop, phase } kind = Kind::timeout;
-    Handle of;
+    Handle owner;
   };
-  struct Try {
-    Handle attempt;  // none: it was skipped
+  struct AttemptRecord {
+    Handle attempt;  // invalid if the send was skipped
     Micros sentAt = 0;
-    bool mayHaveRun = true;
+    bool mayHaveRun = true;  // on a leaf server
   };
   struct Part {
     std::string id;
@@ -140,31 +151,31 @@
     bool done = false;
     long double score = 0;
     std::string value;
-    std::string server;  // that answered
+    std::string server;  // the server that answered
     std::shared_ptr<FlowReader> reply;
-    std::vector<Try> tries;
+    std::vector<AttemptRecord> attempts;
   };
-  // Of a query in phases. Its steps end in judge().
-  struct Phased {
-    Micros begun = 0, aim = 0, stepBegun = 0;
-    bool stuck = false;   // the module says that nothing more comes of the present phase
-    bool queued = false;  // in toJudge_
+  // State of a query in phases. evaluatePhase() decides when a phase ends.
+  struct PhaseState {
+    Micros startedAt = 0, aim = 0, stepStartedAt = 0;
+    bool exhausted = false;         // the decision module expects no further answers in this phase
+    bool evaluationQueued = false;  // the query is in evaluationQueue_
     std::size_t firstParts = 0;
     phases::Account account;
-    std::optional<Agenda<Due>::Key> look;
+    std::optional<Agenda<Timer>::Key> evaluationTimer;
   };
   struct Query {
-    NewQuery asked;
+    NewQuery request;
     std::shared_ptr<const std::string> text;
     std::int64_t group = 0;
-    bool ended = false, firstWhole = false;
+    bool ended = false, firstComplete = false;
     int step = 1;
-    std::size_t stepBegin = 0;
-    std::string from;  // shards that were in when the first step ended
+    std::size_t stepFirstPart = 0;
+    std::string firstStepShards;  // shards that had answered when the first step ended, as "0+2+5"
     std::vector<Part> parts;
-    int triesOut = 0;
-    std::optional<Agenda<Due>::Key> backstop;
-    std::optional<Phased> phased;
+    int attemptsOutstanding = 0;
+    std::optional<Agenda<Timer>::Key> backstop;
+    std::optional<PhaseState> phaseState;
   };
   struct Attempt {
     Handle query;
@@ -172,32 +183,32 @@
     int number = 0;
     std::string server;
     Micros sentAt = 0;
-    bool kept = true;  // not with the leaf side yet
-    std::optional<Agenda<Due>::Key> timeout;
+    bool unsent = true;  // not handed to the leaf side yet
+    std::optional<Agenda<Timer>::Key> timeout;
   };
 
-  static int openParts(const Query& q);  // of the present step
+  static int openParts(const Query& q);  // parts of the current step without an answer
   Query* openQuery(const std::string& id, Handle& h);
-  bool mayTry(const Query& q, const Part& part) const;
-  Micros repeatsUntil(const Query& q, const Part& part) const;
+  bool mayAttempt(const Query& q, const Part& part) const;
+  Micros retryAllowedUntil(const Query& q, const Part& part) const;
   void beginSecondStep(Handle h, Query& q, bool whole);
   void beginStep(Handle h, Query& q, const std::vector<std::size_t>& ask, bool whole);
-  std::vector<phases::Seen> seen(const Query& q) const;  // the present step
-  phases::Times times(const Query& q) const;
+  std::vector<phases::Seen> stepParts(const Query& q) const;  // parts of the current step
+  phases::Times phaseTimes(const Query& q) const;
   phases::Needs needs(const Query& q) const;
-  StepTerms terms(const Query& q) const;
-  void toJudge(Handle h, Query& q);
-  void judge(Handle h);
-  void learnCutOff(const Query& q);
-  FinalAnswer served(Query& q, std::size_t from, std::size_t to, bool whole);
-  void finish(Handle h, FinalAnswer answer, bool tell = true);
-  void settle(Handle h);
-  void giveUpLate(Handle h);
+  StepTerms stepTerms(const Query& q) const;
+  void queueEvaluation(Handle h, Query& q);
+  void evaluatePhase(Handle h);
+  void recordCutOffLatencies(const Query& q);
+  FinalAnswer servedAnswer(Query& q, std::size_t from, std::size_t to, bool whole);
+  void finish(Handle h, FinalAnswer answer, bool report = true);
+  void releaseIfSettled(Handle h);
+  void failAtBackstop(Handle h);
   void defect(const char* what, const std::string& id);
   void count(Count what) { counters_->add(what); }
-  void countEnd(int cls, FinalAnswer::Kind kind);
+  void countQueryEnd(int cls, FinalAnswer::Kind kind);
   const ClassSettings& classOf(const Query& q) const {
-    return rules_->settings.classes[std::size_t(q.asked.cls)];
+    return rules_->settings.classes[std::size_t(q.request.cls)];
   }
 
   std::shared_ptr<const Rules> rules_;
@@ -207,18 +218,18 @@
   std::vector<Command> commands_;
   Table<Query> queries_;
   Table<Attempt> attempts_;
-  Agenda<Due> agenda_;
-  std::unordered_map<std::string, Handle> byId_;
-  std::unordered_map<std::string, std::pair<Handle, std::size_t>> parts_;  // by part id
-  std::vector<std::pair<std::string, std::vector<Call>>> calls_;           // of this turn, by server
+  Agenda<Timer> timers_;
+  std::unordered_map<std::string, Handle> queriesById_;
+  std::unordered_map<std::string, std::pair<Handle, std::size_t>> partsById_;  // query and index of the part
+  std::vector<std::pair<std::string, std::vector<Call>>> turnCalls_;  // calls of this turn, by server
   std::int64_t lastGroup_ = 0;
   std::size_t openQueries_ = 0;
-  int held_ = 0;  // queries and parts, for maxOpen
-  std::vector<Handle> toJudge_;
+  int openUnits_ = 0;  // open queries plus their unanswered parts; limited by maxOpen
+  std::vector<Handle> evaluationQueue_;
   phases::Latencies latencies_;
 };
 
-// Carries out what the ledger asks for, until it asks for nothing more.
+// Executes the commands, including those that are issued meanwhile, until none is left.
 template <typename Leaf, typename OnFinal, typename OnDefect>
 void carryOut(Ledger& ledger, Leaf& leaf, const OnFinal& onFinal, const OnDefect& onDefect) {
   while (!ledger.quiet())
--- a/src/core/listen.hpp
+++ b/src/core/listen.hpp
@@ -1,4 +1,4 @@
-// Opens a listener that waits for nobody: the one way for every front.
+// Opens the non-blocking TCP listeners of all fronts.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,13 +7,13 @@
 
 namespace cometdeal::net {
 
-// Port 0: any that is free. Throws boost::system::system_error.
+// Binds to the address (port 0: any free port) and listens. Throws boost::system::system_error.
 inline void listenAt(boost::asio::ip::tcp::acceptor& acceptor, const Address& address) {
   using tcp = boost::asio::ip::tcp;
-  const tcp::endpoint at(boost::asio::ip::make_address(address.host), address.port);
-  acceptor.open(at.protocol());
+  const tcp::endpoint endpoint(boost::asio::ip::make_address(address.host), address.port);
+  acceptor.open(endpoint.protocol());
   acceptor.set_option(tcp::acceptor::reuse_address(true));
-  acceptor.bind(at);
+  acceptor.bind(endpoint);
   acceptor.listen(boost::asio::socket_base::max_listen_connections);
   acceptor.non_blocking(true);
 }
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -7,24 +7,26 @@
 
 namespace cometdeal::net {
 namespace {
-// The disk is memory here and a log may be kept: a fault that repeats must not fill it.
-constexpr double kBurst = 200.0, kPerSecond = 20.0;
+// Limits in lines. The log may be stored on a disk that is backed by memory; a repeating fault must not fill
+// it.
+constexpr double kBurst = 200.0, kLinesPerSecond = 20.0;
 }  // namespace
 
 void logLine(const char* format, ...) {
   using Clock = std::chrono::steady_clock;
   static double tokens = kBurst;
-  static Clock::time_point at = Clock::now();
+  static Clock::time_point lastRefill = Clock::now();
   static unsigned long suppressed = 0;
   const Clock::time_point now = Clock::now();
-  tokens = std::min(kBurst, tokens + kPerSecond * std::chrono::duration<double>(now - at).count());
-  at = now;
+  tokens =
+      std::min(kBurst, tokens + kLinesPerSecond * std::chrono::duration<double>(now - lastRefill).count());
+  lastRefill = now;
   if (tokens < 1.0) {
     ++suppressed;
     return;
   }
   tokens -= 1.0;
-  if (suppressed > 0) std::fprintf(stderr, "(%lu log lines left out)\n", suppressed);
+  if (suppressed > 0) std::fprintf(stderr, "(%lu log lines suppressed)\n", suppressed);
   suppressed = 0;
   char line[512];
   std::va_list args;
--- a/src/core/log.hpp
+++ b/src/core/log.hpp
@@ -1,8 +1,9 @@
-// The one place that writes log lines: to standard error, by fprintf, no more than so many a second.
+// Writes rate-limited log lines to standard error. All log output goes through here.
 #pragma once
 
 namespace cometdeal::net {
 
+// Lines are cut at 511 bytes; control characters are replaced by '?'.
 [[gnu::format(printf, 1, 2)]] void logLine(const char* format, ...);
 
 }  // namespace cometdeal::net
--- a/src/core/loop.hpp
+++ b/src/core/loop.hpp
@@ -1,5 +1,5 @@
-// The one thread: io_context, strand, deadlines and the turn. Whatever wants a turn asks for it; however
-// often it is asked, one turn follows, at once.
+// Event loop of the process's only thread: io_context, strand, deadlines and the turn. Turns run on request;
+// requests that arrive before the turn starts are merged into one.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,62 +16,65 @@
 
 class Loop {
  public:
-  Loop() : strand(io.get_executor()), wake_(strand) {
-    deadlines.onEarlier = [this] { arm(); };
+  Loop() : strand(io.get_executor()), timer_(strand) {
+    deadlines.onEarlier = [this] { armTimer(); };
   }
+  // The current time on the steady clock. All points in time of the mixer are on this clock.
   static Micros now() {
     const auto t = std::chrono::steady_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::microseconds>(t).count();
   }
+  // Schedules a turn, followed by the due deadlines, unless one is scheduled already.
   void wantTurn() {
-    if (wanted_) return;
-    wanted_ = true;
+    if (turnScheduled_) return;
+    turnScheduled_ = true;
     boost::asio::post(strand, [this] {
-      wanted_ = false;
+      turnScheduled_ = false;
       if (turn) turn();
       deadlines.sweep(now());
-      arm();
+      armTimer();
     });
   }
 
   boost::asio::io_context io{1};
   boost::asio::strand<boost::asio::io_context::executor_type> strand;
   Deadlines deadlines;
-  std::function<void()> turn;
+  std::function<void()> turn;  // called once for each turn
 
  private:
-  void arm() {
+  void armTimer() {
     const auto next = deadlines.next();
     if (!next) return;
-    wake_.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(*next)));
-    wake_.async_wait([this](const boost::system::error_code& ec) {
+    timer_.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(*next)));
+    timer_.async_wait([this](const boost::system::error_code& ec) {
       if (!ec) wantTurn();
     });
   }
-  boost::asio::steady_timer wake_;
-  bool wanted_ = false;
+  boost::asio::steady_timer timer_;
+  bool turnScheduled_ = false;
 };
 
-// The earliest entry of a module's own agenda, among the loop's deadlines.
+// Registers the earliest entry of a module's own timer queue among the loop's deadlines.
 class Alarm {
  public:
-  Alarm(Loop& loop, std::function<void()> act) : loop_(loop), act_(std::move(act)) {}
-  void set(std::optional<Micros> at) {
-    if (at == at_) return;
+  Alarm(Loop& loop, std::function<void()> callback) : loop_(loop), callback_(std::move(callback)) {}
+  // Sets, moves or (nullopt) cancels the alarm.
+  void set(std::optional<Micros> when) {
+    if (when == when_) return;
     loop_.deadlines.drop(key_);
-    at_ = at;
-    if (!at) return;
-    key_ = loop_.deadlines.add(*at, [this] {
+    when_ = when;
+    if (!when) return;
+    key_ = loop_.deadlines.add(*when, [this] {
       key_.reset();
-      at_.reset();
-      act_();
+      when_.reset();
+      callback_();
     });
   }
 
  private:
   Loop& loop_;
-  std::function<void()> act_;
-  std::optional<Micros> at_;
+  std::function<void()> callback_;
+  std::optional<Micros> when_;
   std::optional<Deadlines::Key> key_;
 };
 
--- a/src/core/mixer.cpp
+++ b/src/core/mixer.cpp
@@ -8,8 +8,8 @@
 namespace cometdeal::net {
 namespace {
 
-// Told to clients that are refused for lack of room, in the absence of a figure from the module.
-constexpr Micros kFullPause = 500'000;
+// Retry hint for clients that are refused because maxOpen is reached, if maxRetryAfter is not set.
+constexpr Micros kFullRetryAfter = 500'000;
 
 }  // namespace
 
@@ -22,56 +22,57 @@
       ledger_(rules_, &counters),
       alarm_(loop,
              [this] {
-               // Where the process was held up, the module's own time to end a query is over too: it goes
-               // first.
+               // If the process was suspended, the module's own timers may be due as well. The module goes
+               // first, so that it can end queries before a backstop does.
                ledger_.push(TimerFired{});
                turn();
-               now().sweep();
-               settle();
+               ledgerNow().sweep();
+               processCommands();
              }),
       module_(settings, seed) {
   for (const std::string& name : host.classNames) counters_.ofClass(name);
   const auto unixNow = std::chrono::system_clock::now().time_since_epoch();
-  // Taken once: the module tells a restart by a changed time, so the same time must always come out the same.
+  // Read only once: the module recognizes a server's restart by a changed start time, so a given Unix time
+  // must always be converted to the same result.
   unixOffset_ = std::chrono::duration_cast<std::chrono::microseconds>(unixNow).count() - loop.now();
   leaves_.onEnded = [this](Handle attempt, Outcome outcome, LeafAnswer answer) {
-    now().ended(attempt, outcome, std::move(answer));
-    settle();
+    ledgerNow().ended(attempt, outcome, std::move(answer));
+    processCommands();
   };
   loop_.turn = [this] { turn(); };
 }
 
-Ledger& Mixer::now() {
+Ledger& Mixer::ledgerNow() {
   ledger_.at(loop_.now());
   return ledger_;
 }
 
-void Mixer::settle() {
-  if (settling_) return;  // what a command brings about is carried out by the loop that is under way
-  settling_ = true;
+void Mixer::processCommands() {
+  if (executing_) return;  // called from within a command: the running loop executes what it caused
+  executing_ = true;
   carryOut(
       ledger_, leaves_,
       [this](Handle query, const FinalAnswer& answer) {
-        const auto at = answered_.find(number(query));
-        if (at == answered_.end()) return;
-        const Answered tell = std::move(at->second);
-        answered_.erase(at);
-        tell(answer);
+        const auto it = answered_.find(number(query));
+        if (it == answered_.end()) return;
+        const Answered callback = std::move(it->second);
+        answered_.erase(it);
+        callback(answer);
       },
       [](const char* what, const std::string& id) { logLine("defect: %s: %s", what, id.c_str()); });
-  settling_ = false;
+  executing_ = false;
   alarm_.set(ledger_.next());
   if (ledger_.hasEvents()) loop_.wantTurn();
 }
 
 void Mixer::retune(const Settings& settings, const HostSettings& host, int kept) {
-  const auto held = [&](int cls) { return cls < kept || ledger_.holds(cls); };
-  Retune next = net::retune(rules_->settings, rules_->host, settings, host, held, loop_.now());
+  const auto inUse = [&](int cls) { return cls < kept || ledger_.holds(cls); };
+  Retune next = net::retune(rules_->settings, rules_->host, settings, host, inUse, loop_.now());
   rules_ = std::make_shared<const Ledger::Rules>(Ledger::Rules{next.settings, std::move(next.host)});
-  now().retune(rules_);
+  ledgerNow().retune(rules_);
   for (const std::string& name : rules_->host.classNames) counters_.ofClass(name);
   ledger_.push(Retuned{std::move(next.settings), std::move(next.from)});
-  settle();
+  processCommands();
 }
 
 void Mixer::list(const LeafList& list, ListKind kind) {
@@ -90,17 +91,17 @@
   }
   listed_ = listed_ || !list.entries.empty();
   ledger_.push(std::move(event));
-  settle();
+  processCommands();
 }
 
-bool Mixer::submit(NewQuery asked, Answered answered, Handle& handle) {
-  switch (now().submit(std::move(asked), handle)) {
+bool Mixer::submit(NewQuery query, Answered answered, Handle& handle) {
+  switch (ledgerNow().submit(std::move(query), handle)) {
     case Ledger::Taken::inUse:
       return false;
     case Ledger::Taken::full: {
       FinalAnswer full;
       full.kind = FinalAnswer::Kind::refused;
-      if (host().mayRetryAfter) full.retryAfter = rules_->settings.maxRetryAfter.value_or(kFullPause);
+      if (host().mayRetryAfter) full.retryAfter = rules_->settings.maxRetryAfter.value_or(kFullRetryAfter);
       answered(full);
       return true;
     }
@@ -108,27 +109,27 @@
       break;
   }
   answered_[number(handle)] = std::move(answered);
-  settle();
+  processCommands();
   return true;
 }
 
 void Mixer::abandon(Handle query) {
   answered_.erase(number(query));
-  now().abandon(query);
-  settle();
+  ledgerNow().abandon(query);
+  processCommands();
 }
 
-// Gathers, calls the module once, does its actions in order. What these bring about is for the next turn.
+// Events that are caused by the actions of this turn are delivered in the next turn.
 void Mixer::turn() {
-  const Micros began = loop_.now();
-  ledger_.at(began);
+  const Micros startedAt = loop_.now();
+  ledger_.at(startedAt);
   const std::vector<Event> events = ledger_.takeEvents();
-  if (events.empty()) return settle();
+  if (events.empty()) return processCommands();
   counters_.add(Count::turns);
-  for (const Action& action : module_.react(began, events))
+  for (const Action& action : module_.react(startedAt, events))
     std::visit([this](const auto& a) { act(a); }, action);
   ledger_.flushCalls();
-  settle();
+  processCommands();
 }
 
 void Mixer::act(const SetTimer& a) {
--- a/src/core/mixer.hpp
+++ b/src/core/mixer.hpp
@@ -1,6 +1,6 @@
-// Between the decision module and the sockets: gathers events, calls the module once a turn, does its
-// actions. A protocol front hands in queries and gets one final answer for each; nothing here knows what
-// protocol that is. The rules are the ledger's.
+// Connects the decision module to the fronts and the leaf sides: collects events, calls the module once a
+// turn and performs its actions. A front submits queries and gets one final answer for each; nothing here
+// depends on the front's protocol. The state of queries and attempts is kept by `Ledger`.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -22,19 +22,23 @@
   Mixer(Loop& loop, Counters& counters, LeafSide& leaves, const Settings& settings, const HostSettings& host,
         std::uint64_t seed);
 
-  // The seam for protocol fronts. `answered` is called once, maybe before submit returns, unless the query is
-  // abandoned first. An id that is still open is not taken again: false.
+  // The interface for fronts. `answered` is called once, possibly before submit returns, unless the query is
+  // abandoned first. Returns false, without a call, if the id of the query or of one of its parts is in use.
   bool submit(NewQuery query, Answered answered, Handle& handle);
-  void abandon(Handle query);  // the client has gone
-  bool ready() const { return listed_; }
+  void abandon(Handle query);             // the client has disconnected
+  bool ready() const { return listed_; }  // a non-empty list of leaf servers has been received
   std::size_t open() const { return ledger_.open(); }
   Aggregator::Listed listed() const { return module_.listed(); }
   const HostSettings& host() const { return rules_->host; }
-  const Settings& settings() const { return rules_->settings; }  // classes by place, also those that go
+  // The classes are by index and include those that are being removed.
+  const Settings& settings() const { return rules_->settings; }
 
-  // Takes other settings; `kept` classes keep their place for good. What is under way goes on as it began.
+  // Changes the settings; open queries continue with the settings of their class from when they arrived. The
+  // indices of the first `kept` classes are never reused.
   void retune(const Settings& settings, const HostSettings& host, int kept = 0);
+  // Passes a list of leaf servers on to the leaf side and the decision module.
   void list(const LeafList& list, ListKind kind);
+  // Calls the decision module with the pending events and performs its actions.
   void turn();
 
  private:
@@ -45,10 +49,10 @@
   void act(const Fail& a) { ledger_.act(a); }
   void act(const SetTimer& a);
   void act(const CloseIdle& a);
-  void act(const Subscribe&) {}  // the watch is always on
+  void act(const Subscribe&) {}  // discovery is always subscribed to
   void act(const Note& a);
-  Ledger& now();  // the ledger, at the present time
-  void settle();  // carries out what the ledger asks for
+  Ledger& ledgerNow();     // sets the ledger's time to the present
+  void processCommands();  // executes the ledger's commands and updates its alarm
 
   Loop& loop_;
   Counters& counters_;
@@ -57,9 +61,9 @@
   Ledger ledger_;
   Alarm alarm_;
   Aggregator module_;
-  std::unordered_map<std::uint64_t, Answered> answered_;  // by query
-  Micros unixOffset_ = 0;                                 // Unix time less the loop's clock
-  bool listed_ = false, settling_ = false;
+  std::unordered_map<std::uint64_t, Answered> answered_;  // callbacks by query handle
+  Micros unixOffset_ = 0;                                 // Unix time minus the loop's clock
+  bool listed_ = false, executing_ = false;
 };
 
 }  // namespace cometdeal::net
--- a/src/core/plant.hpp
+++ b/src/core/plant.hpp
@@ -1,29 +1,43 @@
-// Faults that the checker can plant in the state machines, to show that it would find them. In the programs
-// that serve, PLANTED is false when compiled; only the checker's copy of the code has the switch.
+// Faults that the model checker can inject into the state machines, to show that it would find them. In the
+// serving programs PLANTED is a compile-time false; only the checker's copy of the code can enable a fault.
 #pragma once
 
 namespace cometdeal::net {
 
 enum class Plant {
   none,
-  sendAfterAnswer,    // what waits in a connection's queue is not withdrawn at the final answer
-  lateReplyCounts,    // the answer of an attempt that was given up ends the newer attempt of its part
-  stallMeetsTimeout,  // an attempt that timed out still ends with its connection
-  drainCrossesSend,   // a send of the turn in which the drain is told goes out
+  // Parts queued on a connection are not withdrawn at the final answer.
+  sendAfterAnswer,
+  // The answer to an abandoned attempt ends the newer attempt of the part.
+  lateReplyCounts,
+  // An attempt that timed out ends a second time when its connection ends.
+  stallMeetsTimeout,
+  // A part that is sent in the turn in which a drain is reported is written to the draining server.
+  drainCrossesSend,
+  // A slot is reused with its old generation.
   slotWithoutNewGeneration,
-  resetTakenForConnect,  // partly written or whole: all the same could not connect
-  sharedId,              // a newer attempt of a part may go where the older one's answer may still come
-  answerTwice,           // the client's leaving and its answer both end the query
-  keyedAgain,            // the class's limit on attempts and its window are not looked at
-  foreignValue,          // an answer counts for the first attempt on its connection, whatever its id
-  leakOnWithdraw,        // an attempt taken back in its own turn is still counted as out
-  lateBackstop,          // nothing ends a query that the module left open
-  shortAnswer,           // a phase that can come no further is answered from whatever is in
-  lookAfterEnd,          // a query in phases keeps its next look when it ends
+  // An attempt ends as not connected even if its frame was written completely.
+  resetTakenForConnect,
+  // A newer attempt of a part may use a connection on which the answer to an older one may still arrive.
+  sharedId,
+  // The client's disconnect and the answer both end the query.
+  answerTwice,
+  // The limit on attempts and the repeat window are ignored.
+  keyedAgain,
+  // An answer counts for the first attempt on its connection, whatever its id.
+  foreignValue,
+  // An attempt that is withdrawn in the turn that created it still counts as outstanding.
+  leakOnWithdraw,
+  // No backstop ends a query that the decision module leaves open.
+  lateBackstop,
+  // A phase that expects no further answers is answered from those that arrived, however few.
+  shortAnswer,
+  // A query in phases keeps its evaluation timer when it ends.
+  lookAfterEnd,
 };
 
 #ifdef COMETDEAL_PLANTS
-extern Plant planted;  // set before anything runs
+extern Plant planted;  // to be set before the state machines run
 #define PLANTED(name) (::cometdeal::net::planted == ::cometdeal::net::Plant::name)
 #else
 #define PLANTED(name) false
--- a/src/core/retune.cpp
+++ b/src/core/retune.cpp
@@ -5,45 +5,46 @@
 namespace cometdeal::net {
 namespace {
 
-// Clients learn of new settings later than the mixer does: what they were told before goes on for so long.
-constexpr Micros kLinger = 2'000'000;
+// Clients learn of new settings later than the mixer does, so the previous rules stay valid for this long.
+constexpr Micros kLingerTime = 2'000'000;
 constexpr Micros kNever = INT64_MAX;
 
 }  // namespace
 
-Retune retune(const Settings& was, const HostSettings& hostWas, const Settings& next,
-              const HostSettings& hostNext, const std::function<bool(int)>& held, Micros now) {
-  Retune out{next, hostNext, {}};
-  // From the places that there are; what the new file says of a class is put into its place below.
-  out.settings.classes = was.classes;
-  out.host.classNames = hostWas.classNames;
-  out.host.classKeyed = hostWas.classKeyed;
-  out.host.classNeed = hostWas.classNeed;
-  out.host.classFloor = hostWas.classFloor;
-  out.host.plans = hostWas.plans;
-  std::vector<Micros>& until = out.host.classUntil = hostWas.classUntil;
-  std::vector<Micros>& keyFrom = out.host.keyFrom = hostWas.keyFrom;
-  const std::size_t before = was.classes.size();
-  until.resize(before, kNever);
-  keyFrom.resize(before, 0);
-  for (std::size_t k = 0; k < before; ++k) out.from.push_back(int(k));
-  const std::vector<Micros> untilWas = until;
+Retune retune(const Settings& current, const HostSettings& currentHost, const Settings& next,
+              const HostSettings& nextHost, const std::function<bool(int)>& inUse, Micros now) {
+  Retune out{next, nextHost, {}};
+  // Starts from the present classes; the last loop inserts the classes of the new file.
+  out.settings.classes = current.classes;
+  out.host.classNames = currentHost.classNames;
+  out.host.classKeyed = currentHost.classKeyed;
+  out.host.classNeed = currentHost.classNeed;
+  out.host.classFloor = currentHost.classFloor;
+  out.host.plans = currentHost.plans;
+  std::vector<Micros>& until = out.host.classUntil = currentHost.classUntil;
+  std::vector<Micros>& keyFrom = out.host.keyFrom = currentHost.keyFrom;
+  const std::size_t oldSize = current.classes.size();
+  until.resize(oldSize, kNever);
+  keyFrom.resize(oldSize, 0);
+  for (std::size_t k = 0; k < oldSize; ++k) out.from.push_back(int(k));
+  const std::vector<Micros> previousUntil = until;
 
-  for (std::size_t k = 0; k < before; ++k)
-    if (untilWas[k] == kNever && std::ranges::count(hostNext.classNames, hostWas.classNames[k]) == 0)
-      until[k] = now + kLinger;
+  for (std::size_t k = 0; k < oldSize; ++k)
+    if (previousUntil[k] == kNever && std::ranges::count(nextHost.classNames, currentHost.classNames[k]) == 0)
+      until[k] = now + kLingerTime;
   for (std::size_t k = 0; k < next.classes.size(); ++k) {
-    const std::string& name = hostNext.classNames[k];
+    const std::string& name = nextHost.classNames[k];
     int old = -1;
-    for (std::size_t p = 0; p < before; ++p)
-      if (untilWas[p] == kNever && hostWas.classNames[p] == name) old = int(p);
-    if (old >= 0 && was.classes[std::size_t(old)] == next.classes[k]) continue;
+    for (std::size_t i = 0; i < oldSize; ++i)
+      if (previousUntil[i] == kNever && currentHost.classNames[i] == name) old = int(i);
+    if (old >= 0 && current.classes[std::size_t(old)] == next.classes[k]) continue;
     if (old >= 0) until[std::size_t(old)] = 0;
-    std::size_t place = 0;
-    while (place < before && (untilWas[place] > now || held(int(place)) || out.from[place] != int(place)))
-      ++place;
-    if (place == before) place = out.settings.classes.size();
-    if (place == out.settings.classes.size()) {
+    std::size_t index = 0;
+    while (index < oldSize &&
+           (previousUntil[index] > now || inUse(int(index)) || out.from[index] != int(index)))
+      ++index;
+    if (index == oldSize) index = out.settings.classes.size();
+    if (index == out.settings.classes.size()) {
       out.settings.classes.emplace_back();
       out.host.classNames.emplace_back();
       out.host.classKeyed.push_back(false);
@@ -54,18 +55,18 @@
       keyFrom.push_back(0);
       out.from.push_back(-1);
     }
-    out.settings.classes[place] = next.classes[k];
-    out.host.classNames[place] = name;
-    out.host.classKeyed[place] = hostNext.classKeyed[k];
-    out.host.classNeed[place] = hostNext.classNeed[k];
-    out.host.classFloor[place] = hostNext.classFloor[k];
+    out.settings.classes[index] = next.classes[k];
+    out.host.classNames[index] = name;
+    out.host.classKeyed[index] = nextHost.classKeyed[k];
+    out.host.classNeed[index] = nextHost.classNeed[k];
+    out.host.classFloor[index] = nextHost.classFloor[k];
     if (!out.host.plans.ofClass.empty())
-      out.host.plans.ofClass[place] =
-          old < 0 ? nullptr : std::shared_ptr(hostWas.plans.ofClass[std::size_t(old)]);
-    until[place] = kNever;
-    const bool keyedBefore = old >= 0 && hostWas.classKeyed[std::size_t(old)];
-    keyFrom[place] = old >= 0 && !keyedBefore ? now + kLinger : 0;
-    out.from[place] = old;
+      out.host.plans.ofClass[index] =
+          old < 0 ? nullptr : std::shared_ptr(currentHost.plans.ofClass[std::size_t(old)]);
+    until[index] = kNever;
+    const bool wasKeyed = old >= 0 && currentHost.classKeyed[std::size_t(old)];
+    keyFrom[index] = old >= 0 && !wasKeyed ? now + kLingerTime : 0;
+    out.from[index] = old;
   }
   return out;
 }
--- a/src/core/retune.hpp
+++ b/src/core/retune.hpp
@@ -1,11 +1,12 @@
-// Settings that are changed while the mixer serves. A class is known by its place everywhere (queries, the
-// module's figures), so a place never changes its meaning while a query holds it. Pure; no I/O.
+// Changes of the settings while the mixer serves. Queries and the decision module's statistics refer to a
+// class by its index, so the meaning of an index must not change while a query uses it. Pure functions, no
+// I/O.
 //
-//   place:  current -> lingering (still found by its name for a while) -> held (by its queries only) -> free
+//   index:  current -> lingering (still found by name for a while) -> in use (by its open queries) -> free
 //
-// A class whose settings stay keeps its place; one whose settings change gets another place and the old one
-// is left to its queries at once; one that goes lingers. A free place is given to the next class that comes,
-// so that the number of places is bounded by the classes of the file and those with queries under way.
+// A class whose settings do not change keeps its index. A class whose settings change gets a new index, and
+// the old index serves only its open queries. A removed class lingers. New classes reuse free indices, so the
+// number of indices is bounded by the classes of the file plus those with open queries.
 #pragma once
 
 #include <functional>
@@ -18,11 +19,12 @@
 struct Retune {
   Settings settings;
   HostSettings host;
-  std::vector<int> from;  // by place: whose learned figures it takes over; -1: it begins with none
+  std::vector<int> from;  // by class: index of the class whose learned statistics it inherits; -1: none
 };
 
-// `next` by the places of its file. `held`: some query has that place. Times are on the loop's clock.
-Retune retune(const Settings& was, const HostSettings& hostWas, const Settings& next,
-              const HostSettings& hostNext, const std::function<bool(int)>& held, Micros now);
+// Merges the settings `next`, with classes in the order of their file, into the present ones. `inUse` tells
+// whether an index is in use by a query. Times are on the loop's clock.
+Retune retune(const Settings& current, const HostSettings& currentHost, const Settings& next,
+              const HostSettings& nextHost, const std::function<bool(int)>& inUse, Micros now);
 
 }  // namespace cometdeal::net
--- a/src/core/seam.hpp
+++ b/src/core/seam.hpp
@@ -1,5 +1,5 @@
-// The core's two seams, in no protocol's words: what a front hands in and gets back, and what a leaf side
-// carries and tells. Types only.
+// The two interfaces of the core, independent of any protocol: what a front submits and receives, and what a
+// leaf side is given and reports. Types only. All points in time are on the loop's clock.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -20,75 +20,78 @@
 // ---- Fronts ----------------------------------------------------------------------------------------------
 struct QueryPart {
   int shard = 0;
-  double weight = 0.0;
+  double weight = 0.0;  // share of the whole query; the weights of all parts add up to 1
 };
 struct NewQuery {
   std::string id;
-  int cls = 0;
-  std::optional<std::string> key;             // what it is about
-  std::optional<std::string> idempotencyKey;  // of a keyed class
-  Micros until = 0;                           // on the loop's clock: when the client's time ends
-  bool repeated = false;
+  int cls = 0;                                // index of its class
+  std::optional<std::string> key;             // what the query is about, see QueryArrived
+  std::optional<std::string> idempotencyKey;  // in keyed classes
+  Micros until = 0;                           // the client's deadline
+  bool repeated = false;                      // the client has sent this query before
   std::vector<QueryPart> parts;
-  std::string text;
-  std::shared_ptr<Exchange> exchange;  // in place of text, where it or the answer comes in pieces
-  // In phases; none: one step, or two as its class says. A text of the first phase's own is not put in
-  // `text`.
+  std::string text;                    // what is sent to the leaf servers
+  std::shared_ptr<Exchange> exchange;  // used in place of `text` if the request or the answer is streamed
+  // For a query in phases. Without a plan the query has one step, or two if its class says so. If the first
+  // phase of the plan has a text of its own, `text` is for the second phase.
   std::shared_ptr<const phases::Plan> plan;
 };
-struct Row {
+struct Row {  // the answer to one part
   int shard = 0;
   std::string value;
-  std::shared_ptr<FlowReader> reply;  // in place of value; may still be coming
+  std::shared_ptr<FlowReader> reply;  // in place of `value` if the answer is streamed; may be incomplete yet
 };
 struct FinalAnswer {
   enum class Kind { served, refused, failed };
   Kind kind = Kind::failed;
-  bool whole = false;
+  bool whole = false;  // the answer is complete
   std::vector<Row> rows;
-  std::optional<Micros> retryAfter;
-  bool mayHaveRun = false;                         // some attempt of it
+  std::optional<Micros> retryAfter;                // when refused
+  bool mayHaveRun = false;                         // some attempt may have run on a leaf server
   std::shared_ptr<const phases::Account> account;  // of a query in phases that is served
 };
 
 // ---- Leaf sides ------------------------------------------------------------------------------------------
-// One part of a call. Its attempt's handle names it from here to its end.
+// One attempt to have a part answered by a leaf server. The leaf side refers to it by the handle of the
+// attempt.
 struct Call {
   Handle attempt;
-  std::string id;
+  std::string id;  // of the part
   int shard = 0;
-  std::string list;  // what follows the time in the list of the part
+  std::string
+      list;  // fields that follow the time in the comma-separated list of the part, with a leading comma
   std::shared_ptr<const std::string> text;
-  Micros until = 0;            // when the mixer stops waiting
-  Micros startBy = INT64_MAX;  // no byte of it goes out later: after that leaf servers drop no repeats
-  int number = 0;              // of the part's attempts, from 0
+  Micros until = 0;            // when the mixer stops waiting for the answer
+  Micros startBy = INT64_MAX;  // sending must begin before this time: later, leaf servers drop no repeats
+  int number = 0;              // of this attempt among those of the part, from 0
   std::shared_ptr<Exchange> exchange;
 };
 struct LeafAnswer {
-  std::string id;
+  std::string id;                   // of the part
   Outcome outcome = Outcome::done;  // done, error or busy
-  long double score = 0;            // wide enough for any 64-bit number
+  long double score = 0;            // represents every 64-bit integer exactly
   std::optional<LoadReport> load;
   std::string value;
-  std::shared_ptr<FlowReader> reply;  // of an exchange; maybe still coming
+  std::shared_ptr<FlowReader> reply;  // in place of `value` if the answer is streamed; may be incomplete yet
 };
 
+// Sends parts to leaf servers over one protocol.
 class LeafSide {
  public:
-  // Tells the end of an attempt, at most once for each; maybe from within a call of this interface.
+  // Reports the end of an attempt, at most once for each; possibly from within a call of this interface.
   using Ended = std::function<void(Handle attempt, Outcome outcome, LeafAnswer answer)>;
   Ended onEnded;
 
   virtual ~LeafSide() = default;
-  virtual void update(const LeafEntry& entry) = 0;
-  virtual void keepOnly(const std::vector<LeafEntry>& entries) = 0;  // all others are gone
+  virtual void update(const LeafEntry& entry) = 0;                   // adds or changes a server
+  virtual void keepOnly(const std::vector<LeafEntry>& entries) = 0;  // removes all other servers
   virtual void send(const std::string& server, std::vector<Call> calls) = 0;
-  // The attempt's end is no longer waited for; nothing more is told of it.
+  // The attempt has been abandoned: its outcome is no longer needed and must not be reported.
   virtual void giveUp(Handle attempt) = 0;
-  // Its query has its final answer: if nothing of it can have gone out yet, it ends as cancelled.
+  // The query has its final answer: if no byte of the attempt can have been sent yet, it ends as cancelled.
   virtual void withdraw(Handle attempt) = 0;
-  virtual void forget(const std::string& id) = 0;  // its query has ended: no newer attempt can come
-  virtual void closeIdle(const std::string& server) = 0;
+  virtual void forget(const std::string& id) = 0;         // the part gets no further attempts
+  virtual void closeIdle(const std::string& server) = 0;  // closes the server's unused connections
 };
 
 }  // namespace cometdeal::net
--- a/src/core/settings.hpp
+++ b/src/core/settings.hpp
@@ -1,5 +1,5 @@
-// What core and sides are told: addresses, the list of leaf servers, the settings that the host keeps to.
-// Types only.
+// Types shared by the core, the fronts and the leaf sides: addresses, the list of leaf servers, and the
+// settings that apply to the host of the decision module.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -21,27 +21,30 @@
   return address.host + ":" + std::to_string(address.port);
 }
 
-// Plans in phases, where the installation has them.
+// Plans of queries in phases, if any are configured.
 struct QueryPlans {
-  std::vector<std::shared_ptr<const phases::Plan>> ofClass;  // none: the class's settings say all
-  bool inQueries = false;                                    // a query may bring its own
+  std::vector<std::shared_ptr<const phases::Plan>> ofClass;  // by class; null: no phases
+  bool inQueries = false;                                    // queries may supply plans of their own
 };
 
-// The settings' part that the host itself keeps to; the rest is the module's.
+// The settings that the host applies itself; cometdeal::Settings holds those of the decision module. The
+// vectors named class... are indexed by class.
 struct HostSettings {
   std::vector<std::string> zones, classNames;
   std::vector<bool> classKeyed;
   int shards = 0;
-  int streams = 1;             // parts that one connection to a leaf server carries at once
-  Micros connectTimeout = 0;   // a connection that has not come up by then has failed
-  bool mayRetryAfter = false;  // a refusal may say when to come back
+  int streams = 1;             // parts that one connection to a leaf server carries concurrently
+  Micros connectTimeout = 0;   // time limit for establishing a connection
+  bool mayRetryAfter = false;  // refusals may contain a time to retry after
   QueryPlans plans;
-  std::vector<double> classNeed, classFloor;  // see ClassSettings; what a plan is held to
-  // After settings have changed (see retune), on the loop's clock; empty: all are current, and keys needed.
-  std::vector<Micros> classUntil;  // until when a class is found by its name; INT64_MAX: it is current
-  std::vector<Micros> keyFrom;     // from when on a keyed class needs a key
+  std::vector<double> classNeed, classFloor;  // see ClassSettings; plans may not require less
+  // By class, on the loop's clock; set when the settings change while serving (see retune). Empty: all
+  // classes are current, and keyed classes require a key.
+  std::vector<Micros> classUntil;  // until when the class is found by its name; INT64_MAX: it is current
+  std::vector<Micros> keyFrom;     // from when on a keyed class requires a key
 
-  int classOf(const std::string& name, Micros now) const;  // its place; -1: there is none of that name
+  // The index of the class with this name, or -1. A current class is preferred to one that expires.
+  int classOf(const std::string& name, Micros now) const;
 };
 
 inline int HostSettings::classOf(const std::string& name, Micros now) const {
@@ -55,16 +58,17 @@
   return found;
 }
 
+// A leaf server as reported by discovery.
 struct LeafEntry {
   std::string name;
   Address address;
   int zone = 0, cell = 0;
   ServerState state = ServerState::serving;
-  std::int64_t sinceMs = 0;  // Unix time of its last start; 0: long ago
+  std::int64_t sinceMs = 0;  // Unix time of the last start, in milliseconds; 0: long ago
 };
 struct LeafList {
-  std::int64_t index = 0;
-  bool whole = false;
+  std::int64_t index = 0;  // version of the list
+  bool whole = false;      // a full snapshot; otherwise changes only
   std::vector<LeafEntry> entries;
 };
 
--- a/src/core/slots.hpp
+++ b/src/core/slots.hpp
@@ -1,5 +1,6 @@
-// A table of numbered slots. A handle names a slot and its generation, so that a late callback that holds the
-// handle of something that has ended finds nothing, even if the slot has been given to something newer.
+// Tables of numbered slots. A handle consists of a slot's index and generation. The generation changes when
+// the slot is freed, so a late callback with the handle of a removed value finds nothing, even if the slot
+// has been reused.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +19,8 @@
   bool operator==(const Handle&) const = default;
 };
 
-// A copy of the table is a copy of all that it holds. A value stays where it is while others come and go.
+// Copying the table copies all values. The address of a value does not change while others are added or
+// removed.
 template <typename T>
 class Table {
  public:
@@ -46,6 +48,7 @@
     ++size_;
     return {index, generations_[index]};
   }
+  // nullptr if the value was removed or the handle is invalid.
   T* get(Handle h) const {
     if (h.index >= slots_.size() || generations_[h.index] != h.generation) return nullptr;
     return slots_[h.index].get();
@@ -61,8 +64,8 @@
   std::size_t size() const { return size_; }
   std::vector<Handle> all() const {
     std::vector<Handle> out;
-    for (std::uint32_t k = 0; k < slots_.size(); ++k)
-      if (slots_[k]) out.push_back({k, generations_[k]});
+    for (std::uint32_t index = 0; index < slots_.size(); ++index)
+      if (slots_[index]) out.push_back({index, generations_[index]});
     return out;
   }
 
@@ -72,7 +75,7 @@
   std::size_t size_ = 0;
 };
 
-// The same for what must outlive its slot: the buffers of an operation that is under way.
+// A table for values that may have to outlive their slot, such as the buffers of a pending I/O operation.
 template <typename T>
 class Slots {
  public:
@@ -95,6 +98,7 @@
   Table<std::shared_ptr<T>> table_;
 };
 
+// The handle as one integer, for use as a key.
 inline std::uint64_t number(Handle h) { return (std::uint64_t(h.generation) << 32) | h.index; }
 
 }  // namespace cometdeal::net
