--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -22,26 +22,27 @@
 using namespace cometdeal::net;
 using Random = boost::random::mt19937_64;
 
-constexpr Micros kTurn = 20;  // from when something has come to the turn that acts on it
-constexpr double kSlack = 1e-6;
+constexpr Micros kTurnDelay = 20;  // from an event to the turn that handles it
+constexpr double kRoundingTolerance = 1e-6;
 
 double uniform(Random& random, double from, double to) {
   return boost::random::uniform_real_distribution<double>(from, to)(random);
 }
 
-// What happens when, in order; of one moment in the order it was planned.
+// Virtual clock with its event queue. Events of the same time run in the order in which they were scheduled.
 class Clock {
  public:
   Micros now = 0;
-  void at(Micros when, std::function<void()> act) {
-    queue_.push({std::max(when, now), ++last_, std::move(act)});
+  void schedule(Micros when, std::function<void()> callback) {
+    queue_.push({std::max(when, now), ++lastSequence_, std::move(callback)});
   }
   void run(Micros until) {
     while (!queue_.empty() && queue_.top().when <= until) {
-      const auto act = std::move(const_cast<Entry&>(queue_.top()).act);  // gone with the next line
+      // The entry is removed right afterwards, so its callback may be moved out.
+      const auto callback = std::move(const_cast<Entry&>(queue_.top()).callback);
       now = queue_.top().when;
       queue_.pop();
-      act();
+      callback();
     }
     now = until;
   }
@@ -49,14 +50,14 @@
  private:
   struct Entry {
     Micros when;
-    std::uint64_t order;
-    std::function<void()> act;
+    std::uint64_t sequence;
+    std::function<void()> callback;
     bool operator<(const Entry& other) const {
-      return when != other.when ? when > other.when : order > other.order;
+      return when != other.when ? when > other.when : sequence > other.sequence;
     }
   };
   std::priority_queue<Entry> queue_;
-  std::uint64_t last_ = 0;
+  std::uint64_t lastSequence_ = 0;
 };
 
 struct Job {
@@ -65,26 +66,26 @@
   std::function<void()> done;
 };
 
-// Cores, a queue in order of arrival, and moments in which all of it stands still.
+// A leaf server with several cores, a first-come first-served queue, and pauses during which nothing runs.
 class Leaf {
  public:
   Leaf(Clock& clock, const LeafModel& model, std::uint64_t seed)
       : clock_(clock), model_(model), random_(seed) {
-    if (model_.pauseMost > 0) planPause();
+    if (model_.maxPause > 0) schedulePause();
   }
-  void take(Job job) {
+  void enqueue(Job job) {
     queued_ += job.work;
     waiting_.push_back(std::move(job));
-    begin();
+    startJobs();
   }
-  double worked = 0;  // microseconds, of all cores
-  // When a job that came now would be done, as far as it can be known now.
-  Micros doneBy(Micros work) const {
+  double workDone = 0;  // core microseconds
+  // Estimates when a job that arrived now would end.
+  Micros estimatedEnd(Micros work) const {
     Micros busy = queued_;
     for (const auto& [id, one] : running_) busy += std::max<Micros>(0, one.end - clock_.now);
     const Micros wait = int(running_.size()) < model_.cores && waiting_.empty() ? 0 : busy / model_.cores;
-    Micros end = std::max(clock_.now, stillUntil_) + wait + work;
-    if (end > nextPause_) end += nextLength_;
+    Micros end = std::max(clock_.now, pausedUntil_) + wait + work;
+    if (end > nextPauseAt_) end += nextPauseLength_;
     return end;
   }
 
@@ -94,39 +95,39 @@
     int version = 0;
     std::function<void()> done;
   };
-  void begin() {
+  void startJobs() {
     while (int(running_.size()) < model_.cores && !waiting_.empty()) {
       Job job = std::move(waiting_.front());
       waiting_.pop_front();
       queued_ -= job.work;
-      if (clock_.now >= job.until) continue;  // its time-out has passed
-      worked += double(job.work);
-      const std::uint64_t id = ++last_;
-      running_[id] = {std::max(clock_.now, stillUntil_) + job.work, 0, std::move(job.done)};
-      watch(id);
+      if (clock_.now >= job.until) continue;  // timed out
+      workDone += double(job.work);
+      const std::uint64_t id = ++lastSequence_;
+      running_[id] = {std::max(clock_.now, pausedUntil_) + job.work, 0, std::move(job.done)};
+      scheduleEnd(id);
     }
   }
-  void watch(std::uint64_t id) {
-    clock_.at(running_[id].end, [this, id, version = running_[id].version] {
-      const auto at = running_.find(id);
-      if (at == running_.end() || at->second.version != version) return;
-      const auto done = std::move(at->second.done);
-      running_.erase(at);
+  void scheduleEnd(std::uint64_t id) {
+    clock_.schedule(running_[id].end, [this, id, version = running_[id].version] {
+      const auto it = running_.find(id);
+      if (it == running_.end() || it->second.version != version) return;
+      const auto done = std::move(it->second.done);
+      running_.erase(it);
       done();
-      begin();
+      startJobs();
     });
   }
-  void planPause() {
-    nextPause_ = clock_.now + Micros(uniform(random_, double(model_.gapLeast), double(model_.gapMost)));
-    nextLength_ = Micros(uniform(random_, double(model_.pauseLeast), double(model_.pauseMost)));
-    clock_.at(nextPause_, [this] {
-      stillUntil_ = clock_.now + nextLength_;
+  void schedulePause() {
+    nextPauseAt_ = clock_.now + Micros(uniform(random_, double(model_.minGap), double(model_.maxGap)));
+    nextPauseLength_ = Micros(uniform(random_, double(model_.minPause), double(model_.maxPause)));
+    clock_.schedule(nextPauseAt_, [this] {
+      pausedUntil_ = clock_.now + nextPauseLength_;
       for (auto& [id, one] : running_) {
-        one.end += nextLength_;
+        one.end += nextPauseLength_;
         ++one.version;
-        watch(id);
+        scheduleEnd(id);
       }
-      planPause();
+      schedulePause();
     });
   }
 
@@ -135,113 +136,114 @@
   Random random_;
   std::deque<Job> waiting_;
   std::map<std::uint64_t, Running> running_;
-  std::uint64_t last_ = 0;
-  Micros queued_ = 0, stillUntil_ = 0, nextPause_ = INT64_MAX, nextLength_ = 0;
+  std::uint64_t lastSequence_ = 0;
+  Micros queued_ = 0, pausedUntil_ = 0, nextPauseAt_ = INT64_MAX, nextPauseLength_ = 0;
 };
 
-struct Asked {
-  Micros at = 0;
-  bool counted = false;
+struct QueryRecord {
+  Micros submittedAt = 0;
+  bool measured = false;
   int firstShard = 0, parts = 0;
-  double firstIn = 1;  // of the first phase's weight, as told with the second's parts
+  double firstPhaseWeight = 1;  // answered share of the first phase, as sent with the parts of the second
 };
 
-class World {
+class Simulation {
  public:
-  explicit World(const Model& model) : model_(model), random_(model.seed * 7919 + 17) {
-    for (int k = 0; k < model_.leaves; ++k)
-      leaves_.push_back(std::make_unique<Leaf>(clock_, model_.leaf, model_.seed * 104729 + std::uint64_t(k)));
+  explicit Simulation(const SimulationConfig& config) : config_(config), random_(config.seed * 7919 + 17) {
+    for (int k = 0; k < config_.leaves; ++k)
+      leaves_.push_back(
+          std::make_unique<Leaf>(clock_, config_.leaf, config_.seed * 104729 + std::uint64_t(k)));
     auto rules = std::make_shared<Ledger::Rules>();
-    Settings& set = rules->settings;
+    Settings& settings = rules->settings;
     ClassSettings cls;
-    cls.aim = model_.cls.aim;
-    cls.deadline = model_.cls.deadline;
-    cls.lateShare = model_.cls.lateShare;
-    cls.floor = model_.cls.floor;
+    cls.aim = config_.cls.aim;
+    cls.deadline = config_.cls.deadline;
+    cls.lateShare = config_.cls.lateShare;
+    cls.floor = config_.cls.floor;
     cls.partial = 0.9;
-    cls.followUp = model_.cls.plan ? 0 : model_.cls.fetch;
-    set.classes = {cls};
-    set.instances = model_.mixers;
-    set.tick = 5'000;
-    set.cells = model_.leaves;
-    set.reach = model_.reach;
-    set.mayCancel = set.maySecondCopy = true;
-    set.maxAttempts = 3;
-    set.maxRetryAfter = 500'000;
-    rules->host.classNames = {model_.cls.name};
+    cls.followUp = config_.cls.plan ? 0 : config_.cls.fetch;
+    settings.classes = {cls};
+    settings.instances = config_.mixers;
+    settings.tick = 5'000;
+    settings.cells = config_.leaves;
+    settings.reach = config_.reach;
+    settings.mayCancel = settings.maySecondCopy = true;
+    settings.maxAttempts = 3;
+    settings.maxRetryAfter = 500'000;
+    rules->host.classNames = {config_.cls.name};
     rules->host.classKeyed = {false};
-    rules->host.shards = model_.leaves;
+    rules->host.shards = config_.leaves;
     rules_ = rules;
-    for (int k = 0; k < model_.mixers; ++k) mixers_.push_back(std::make_unique<Mixer>(*this, k));
+    for (int k = 0; k < config_.mixers; ++k) mixers_.push_back(std::make_unique<Mixer>(*this, k));
   }
 
   Report run() {
-    const ClassModel& c = model_.cls;
-    const double parts = 0.5 * (c.partsLeast + c.partsMost);
+    const ClassModel& c = config_.cls;
+    const double parts = 0.5 * (c.minParts + c.maxParts);
     const double workMs = parts * c.first.meanMs + c.fetch * c.second.meanMs;
-    rate_ = model_.load * model_.leaves * model_.leaf.cores / (workMs / 1e3);
-    arrive();
-    clock_.run(model_.warmUp + model_.span + c.deadline + 1'000'000);
-    std::ranges::sort(times_);
-    if (!times_.empty()) {
-      report_.p50 = times_[times_.size() / 2] / 1e3;
-      report_.p99 = times_[times_.size() * 99 / 100] / 1e3;
+    arrivalRate_ = config_.load * config_.leaves * config_.leaf.cores / (workMs / 1e3);
+    scheduleArrival();
+    clock_.run(config_.warmUp + config_.measuredTime + c.deadline + 1'000'000);
+    std::ranges::sort(responseTimes_);
+    if (!responseTimes_.empty()) {
+      report_.p50 = responseTimes_[responseTimes_.size() / 2] / 1e3;
+      report_.p99 = responseTimes_[responseTimes_.size() * 99 / 100] / 1e3;
     }
-    double worked = 0;
-    for (const auto& leaf : leaves_) worked += leaf->worked;
-    report_.work = worked / 1e3 / double(std::max<std::uint64_t>(1, all_));
+    double workDone = 0;
+    for (const auto& leaf : leaves_) workDone += leaf->workDone;
+    report_.work = workDone / 1e3 / double(std::max<std::uint64_t>(1, queryCount_));
     report_.attempts = double(sends_) / double(std::max<std::size_t>(1, partsSent_));
     report_.worth = boost::accumulators::mean(worth_);
     return report_;
   }
 
  private:
-  // One mixer: the ledger and the module that serve, and in place of sockets the clock.
+  // One mixer: the ledger and the decision module that serve, on the virtual clock instead of sockets.
   struct Mixer {
-    World& w;
+    Simulation& simulation;
     Counters counters;
     Ledger ledger;
     Aggregator module;
-    bool wanted = false;
-    std::map<std::uint64_t, std::string> queries;  // open ones
-    Micros alarm = -1;
+    bool turnScheduled = false;
+    std::map<std::uint64_t, std::string> queries;  // ids of the open queries, by handle
+    Micros timerAt = -1;
 
-    Mixer(World& world, int number)
-        : w(world),
-          ledger(world.rules_, &counters),
-          module(world.rules_->settings, world.model_.seed * 31 + std::uint64_t(number)) {
-      if (world.model_.knows == Knows::claims)
+    Mixer(Simulation& owner, int number)
+        : simulation(owner),
+          ledger(owner.rules_, &counters),
+          module(owner.rules_->settings, owner.config_.seed * 31 + std::uint64_t(number)) {
+      if (owner.config_.knowledge == Knowledge::claims)
         ledger.phaseNeeds = [this](const std::string&, int phase, std::size_t, double chance) {
-          const phases::Plan& plan = *w.model_.cls.plan;
+          const phases::Plan& plan = *simulation.config_.cls.plan;
           return std::optional<Micros>(Micros(plan.phases[std::size_t(phase)].claim *
-                                              double(w.model_.cls.aim) * (chance < 0.7 ? 0.5 : 1)));
+                                              double(simulation.config_.cls.aim) * (chance < 0.7 ? 0.5 : 1)));
         };
-      if (world.model_.knows == Knows::oracle)
+      if (owner.config_.knowledge == Knowledge::oracle)
         ledger.phaseNeeds = [this](const std::string& query, int phase, std::size_t parts, double) {
-          return std::optional<Micros>(w.foretell(query, phase, parts));
+          return std::optional<Micros>(simulation.predictPhaseTime(query, phase, parts));
         };
       ListArrived list;
-      for (int k = 0; k < world.model_.leaves; ++k)
+      for (int k = 0; k < owner.config_.leaves; ++k)
         list.entries.push_back(
-            {"s" + std::to_string(100 + k), k % world.model_.zones, k, ServerState::serving, {}});
+            {"s" + std::to_string(100 + k), k % owner.config_.zones, k, ServerState::serving, {}});
       ledger.push(std::move(list));
-      want();
+      requestTurn();
     }
-    void want() {
-      if (std::exchange(wanted, true)) return;
-      w.clock_.at(w.clock_.now + kTurn, [this] {
-        wanted = false;
+    void requestTurn() {
+      if (std::exchange(turnScheduled, true)) return;
+      simulation.clock_.schedule(simulation.clock_.now + kTurnDelay, [this] {
+        turnScheduled = false;
         turn();
       });
     }
     void turn() {
-      ledger.at(w.clock_.now);
+      ledger.at(simulation.clock_.now);
       const std::vector<Event> events = ledger.takeEvents();
       if (!events.empty()) {
-        for (const Action& action : module.react(w.clock_.now, events)) act(action);
+        for (const Action& action : module.react(simulation.clock_.now, events)) act(action);
         ledger.flushCalls();
       }
-      settle();
+      processCommands();
     }
     void act(const Action& action) {
       if (const auto* send = std::get_if<Send>(&action)) ledger.act(*send);
@@ -250,69 +252,70 @@
       if (const auto* refuse = std::get_if<Refuse>(&action)) ledger.act(*refuse);
       if (const auto* fail = std::get_if<Fail>(&action)) ledger.act(*fail);
       if (const auto* timer = std::get_if<SetTimer>(&action))
-        w.clock_.at(w.clock_.now + timer->delay, [this] {
+        simulation.clock_.schedule(simulation.clock_.now + timer->delay, [this] {
           ledger.push(TimerFired{});
-          want();
+          requestTurn();
         });
     }
-    void settle() {
+    void processCommands() {
       carryOut(
           ledger, *this,
-          [this](Handle query, const FinalAnswer& answer) { w.answered(*this, query, answer); },
+          [this](Handle query, const FinalAnswer& answer) { simulation.answered(*this, query, answer); },
           [](const char*, const std::string&) {});
-      if (const auto next = ledger.next(); next && (alarm < 0 || *next < alarm || alarm <= w.clock_.now)) {
-        alarm = *next;
-        w.clock_.at(*next, [this, at = *next] {
-          if (alarm == at) alarm = -1;
-          ledger.at(w.clock_.now);
+      if (const auto next = ledger.next();
+          next && (timerAt < 0 || *next < timerAt || timerAt <= simulation.clock_.now)) {
+        timerAt = *next;
+        simulation.clock_.schedule(*next, [this, dueAt = *next] {
+          if (timerAt == dueAt) timerAt = -1;
+          ledger.at(simulation.clock_.now);
           ledger.sweep();
-          settle();
+          processCommands();
         });
       }
-      if (ledger.hasEvents()) want();
+      if (ledger.hasEvents()) requestTurn();
     }
-    // As the leaf side of carryOut.
+    // The leaf side for carryOut.
     void send(const std::string& server, const std::vector<Call>& calls) {
       const std::size_t leaf = std::size_t(std::stoi(server.substr(1)) - 100);
-      for (const Call& call : calls) w.send(*this, leaf, call);
+      for (const Call& call : calls) simulation.send(*this, leaf, call);
     }
-    void giveUp(Handle) {}  // a cancel stops nothing that runs
+    void giveUp(Handle) {}  // jobs that are running or queued are not stopped
     void withdraw(Handle) {}
     void forget(const std::string&) {}
   };
 
-  void arrive() {
+  void scheduleArrival() {
     const Micros next =
-        clock_.now + Micros(1e6 * boost::random::exponential_distribution<double>(rate_)(random_));
-    if (next >= model_.warmUp + model_.span) return;
-    clock_.at(next, [this] {
-      ask();
-      arrive();
+        clock_.now + Micros(1e6 * boost::random::exponential_distribution<double>(arrivalRate_)(random_));
+    if (next >= config_.warmUp + config_.measuredTime) return;
+    clock_.schedule(next, [this] {
+      submitQuery();
+      scheduleArrival();
     });
   }
-  void ask() {
-    const ClassModel& c = model_.cls;
-    const std::string id = "q" + std::to_string(++all_);
-    Asked asked;
-    asked.at = clock_.now;
-    asked.counted = clock_.now >= model_.warmUp;
-    asked.parts = int(uniform(random_, c.partsLeast, c.partsMost + 1));
-    asked.firstShard = int(uniform(random_, 0, model_.leaves));
+  void submitQuery() {
+    const ClassModel& c = config_.cls;
+    const std::string id = "q" + std::to_string(++queryCount_);
+    QueryRecord record;
+    record.submittedAt = clock_.now;
+    record.measured = clock_.now >= config_.warmUp;
+    record.parts = int(uniform(random_, c.minParts, c.maxParts + 1));
+    record.firstShard = int(uniform(random_, 0, config_.leaves));
     NewQuery query;
     query.id = id;
     query.key = "k" + std::to_string(int(uniform(random_, 0, 5000)));
     query.until = clock_.now + c.deadline;
     query.plan = c.plan;
-    for (int k = 0; k < asked.parts; ++k)
-      query.parts.push_back({(asked.firstShard + k) % model_.leaves, 1.0 / asked.parts});
-    asked_[id] = asked;
-    if (asked.counted) ++report_.asked;
-    Mixer& m = *mixers_[all_ % mixers_.size()];
+    for (int k = 0; k < record.parts; ++k)
+      query.parts.push_back({(record.firstShard + k) % config_.leaves, 1.0 / record.parts});
+    records_[id] = record;
+    if (record.measured) ++report_.queries;
+    Mixer& m = *mixers_[queryCount_ % mixers_.size()];
     m.ledger.at(clock_.now);
     Handle h;
     m.ledger.submit(std::move(query), h);
     m.queries[number(h)] = id;
-    m.settle();
+    m.processCommands();
   }
 
   static std::uint64_t hash(std::uint64_t h, const std::string& text) {
@@ -320,23 +323,23 @@
     h ^= h >> 29;
     return h * 0xbf58476d1ce4e5b9ULL;
   }
-  // The same for every attempt of a part, and known to the oracle.
+  // Depends only on the part, so all attempts of a part need the same work, and the oracle can know it.
   Micros workOf(const std::string& query, int shard, int phase) const {
-    const Work& work = phase == 0 ? model_.cls.first : model_.cls.second;
-    Random random(hash(model_.seed + std::uint64_t(phase), query + "." + std::to_string(shard)));
+    const Work& work = phase == 0 ? config_.cls.first : config_.cls.second;
+    Random random(hash(config_.seed + std::uint64_t(phase), query + "." + std::to_string(shard)));
     const double mu = std::log(work.meanMs * 1e3) - work.sigma * work.sigma / 2;
     Micros out = Micros(boost::random::lognormal_distribution<double>(mu, work.sigma)(random));
-    if (phase == 0 && uniform(random, 0, 1) < model_.lateChance) out += model_.lateBy;
+    if (phase == 0 && uniform(random, 0, 1) < config_.extraDelayProbability) out += config_.extraDelay;
     return out;
   }
   long double scoreOf(const std::string& query, int shard) const {
-    return (long double)(hash(model_.seed + 99, query + "/" + std::to_string(shard)) >> 40);
+    return (long double)(hash(config_.seed + 99, query + "/" + std::to_string(shard)) >> 40);
   }
   std::vector<std::size_t> holders(int shard) const {
     std::vector<std::size_t> out;
-    out.reserve(std::size_t(model_.reach));
-    for (int back = 0; back < model_.reach; ++back)
-      out.push_back(std::size_t((shard + back) % model_.leaves));
+    out.reserve(std::size_t(config_.reach));
+    for (int back = 0; back < config_.reach; ++back)
+      out.push_back(std::size_t((shard + back) % config_.leaves));
     return out;
   }
 
@@ -345,108 +348,109 @@
     partsSent_ += call.number == 0;
     const bool fetch = call.id.ends_with(".fetch");
     const std::string query = call.id.substr(0, call.id.find('.'));
-    Asked& asked = asked_[query];
+    QueryRecord& record = records_[query];
     if (const std::size_t from = call.list.find("from="); from != std::string::npos) {
       const std::string named = call.list.substr(from, call.list.find(',', from) - from);
-      asked.firstIn = double(std::ranges::count(named, '+') + 1) / asked.parts;
+      record.firstPhaseWeight = double(std::ranges::count(named, '+') + 1) / record.parts;
     }
-    clock_.at(clock_.now + model_.way, [this, &m, leaf, call, query, fetch] {
+    clock_.schedule(clock_.now + config_.oneWayDelay, [this, &m, leaf, call, query, fetch] {
       Job job{call.id, workOf(query, call.shard, fetch ? 1 : 0), call.until, {}};
       job.done = [this, &m, call, query] {
-        clock_.at(clock_.now + model_.way, [this, &m, call, query] {
+        clock_.schedule(clock_.now + config_.oneWayDelay, [this, &m, call, query] {
           LeafAnswer answer;
           answer.id = call.id;
           answer.outcome = Outcome::done;
           answer.score = scoreOf(query, call.shard);
           m.ledger.at(clock_.now);
           m.ledger.ended(call.attempt, Outcome::done, std::move(answer));
-          m.settle();
+          m.processCommands();
         });
       };
-      leaves_[leaf]->take(std::move(job));
+      leaves_[leaf]->enqueue(std::move(job));
     });
   }
 
-  // How long a phase of the query would take if it began now, with each part at the server that is done
-  // first.
-  Micros foretell(const std::string& query, int phase, std::size_t parts) const {
-    const Asked& asked = asked_.at(query);
+  // How long a phase of the query would take if it began now, with each part sent to the server that would
+  // answer it first.
+  Micros predictPhaseTime(const std::string& query, int phase, std::size_t parts) const {
+    const QueryRecord& record = records_.at(query);
     std::vector<int> shards;
-    shards.reserve(std::size_t(asked.parts));
-    for (int k = 0; k < asked.parts; ++k) shards.push_back((asked.firstShard + k) % model_.leaves);
+    shards.reserve(std::size_t(record.parts));
+    for (int k = 0; k < record.parts; ++k) shards.push_back((record.firstShard + k) % config_.leaves);
     std::ranges::sort(shards, [&](int a, int b) { return scoreOf(query, a) > scoreOf(query, b); });
     if (shards.size() > parts) shards.resize(parts);
     Micros last = clock_.now;
     for (const int shard : shards) {
       Micros best = INT64_MAX;
       for (const std::size_t leaf : holders(shard))
-        best = std::min(best, leaves_[leaf]->doneBy(workOf(query, shard, phase)));
+        best = std::min(best, leaves_[leaf]->estimatedEnd(workOf(query, shard, phase)));
       last = std::max(last, best);
     }
-    return last - clock_.now + 2 * model_.way + 2 * kTurn;
+    return last - clock_.now + 2 * config_.oneWayDelay + 2 * kTurnDelay;
   }
 
   void answered(Mixer& m, Handle h, const FinalAnswer& answer) {
-    const auto at = m.queries.find(number(h));
-    if (at == m.queries.end()) return;
-    const Asked asked = asked_.at(at->second);
-    m.queries.erase(at);
-    if (!asked.counted) return;
-    const ClassModel& c = model_.cls;
-    const Micros took = clock_.now - asked.at;
+    const auto it = m.queries.find(number(h));
+    if (it == m.queries.end()) return;
+    const QueryRecord record = records_.at(it->second);
+    m.queries.erase(it);
+    if (!record.measured) return;
+    const ClassModel& c = config_.cls;
+    const Micros took = clock_.now - record.submittedAt;
     double worth = 0;
     if (answer.kind == FinalAnswer::Kind::refused) ++report_.refused;
     if (answer.kind == FinalAnswer::Kind::failed) ++report_.failed;
     if (answer.kind == FinalAnswer::Kind::served) {
       ++report_.served;
-      times_.push_back(double(took));
-      worth = asked.firstIn;
+      responseTimes_.push_back(double(took));
+      worth = record.firstPhaseWeight;
       if (answer.account)
-        worth = judge(*answer.account, answer);
-      else if (answer.rows.size() < std::size_t(std::min(c.fetch, asked.parts)))
+        worth = scorePhases(*answer.account, answer);
+      else if (answer.rows.size() < std::size_t(std::min(c.fetch, record.parts)))
         worth *= 0.9;
       if (took <= c.aim) ++report_.inTime;
       if (took > c.aim) worth *= c.lateShare;
     }
     worth_(worth);
   }
-  double judge(const phases::Account& account, const FinalAnswer& answer) {
-    const phases::Plan& plan = *model_.cls.plan;
+  double scorePhases(const phases::Account& account, const FinalAnswer& answer) {
+    const phases::Plan& plan = *config_.cls.plan;
     const phases::PhaseAccount& first = account.phases[0];
-    if (first.weightIn < plan.phases[0].least - kSlack) ++report_.shortOfLeast;
+    if (first.weightIn < plan.phases[0].least - kRoundingTolerance) ++report_.belowMinimum;
     if (answer.whole &&
         (first.in < first.asked || (plan.two() && account.second != phases::Step::Second::whole)))
-      ++report_.wronglyExact;
-    double worth = first.weightIn * model_.cls.firstWorth;
+      ++report_.wronglyComplete;
+    double worth = first.weightIn * config_.cls.firstWorth;
     using Second = phases::Step::Second;
     if (account.second == Second::skipped) ++report_.skipped;
     if (account.second == Second::failed) ++report_.secondFailed;
     if (account.second != Second::whole && account.second != Second::cut) return worth;
-    ++(account.second == Second::whole ? report_.whole : report_.cut);
+    ++(account.second == Second::whole ? report_.complete : report_.cut);
     const phases::PhaseAccount& second = account.phases[1];
-    if (second.weightIn < plan.phases[1].least * second.weightAsked - kSlack) ++report_.shortOfLeast;
+    if (second.weightIn < plan.phases[1].least * second.weightAsked - kRoundingTolerance)
+      ++report_.belowMinimum;
     return worth +
-           first.weightIn * (1 - model_.cls.firstWorth) * second.in / double(second.asked + second.cut);
+           first.weightIn * (1 - config_.cls.firstWorth) * second.in / double(second.asked + second.cut);
   }
 
-  const Model& model_;
+  const SimulationConfig& config_;
   Random random_;
   Clock clock_;
   std::vector<std::unique_ptr<Leaf>> leaves_;
   std::shared_ptr<const Ledger::Rules> rules_;
   std::vector<std::unique_ptr<Mixer>> mixers_;
-  std::map<std::string, Asked> asked_;
+  std::map<std::string, QueryRecord> records_;
   Report report_;
-  std::vector<double> times_;
+  std::vector<double> responseTimes_;
   boost::accumulators::accumulator_set<double, boost::accumulators::stats<boost::accumulators::tag::mean>>
       worth_;
-  double rate_ = 0;
-  std::uint64_t all_ = 0, sends_ = 0;
+  double arrivalRate_ = 0;
+  std::uint64_t queryCount_ = 0, sends_ = 0;
   std::size_t partsSent_ = 0;
 };
 
 }  // namespace
 
-Report play(const Model& model) { return World(model).run(); }
+Report simulate(const SimulationConfig& config) { return Simulation(config).run(); }
 
 }  // namespace cometdeal::emulator
--- a/src/tool/check.cpp
+++ b/src/tool/check.cpp
@@ -18,38 +18,40 @@
 using check::Scope;
 using net::Plant;
 
-struct Planted {
+struct FaultInfo {
   const char* name;
-  Plant plant;
-  const char* what;
-  const char* property;  // that catches it
+  Plant fault;
+  const char* what;      // its effect
+  const char* property;  // the property that it violates
 };
-constexpr Planted kPlants[] = {
+constexpr FaultInfo kFaults[] = {
     {"send-after-answer", Plant::sendAfterAnswer,
-     "what waits in a connection's queue is not taken back at the final answer", "nothing-after"},
+     "parts queued on a connection are not withdrawn at the final answer", "nothing-after"},
     {"late-reply-counts", Plant::lateReplyCounts,
-     "a cancel races with a late reply: the answer of what was given up ends an attempt", "one-end"},
+     "a cancel races with a late reply: the answer to an abandoned attempt ends another one", "one-end"},
     {"stall-meets-timeout", Plant::stallMeetsTimeout,
-     "a stall overlaps a time-out: what timed out ends again with its connection", "one-end"},
+     "a stall overlaps a time-out: an attempt that timed out ends again with its connection", "one-end"},
     {"drain-crosses-send", Plant::drainCrossesSend,
-     "a send of the turn in which a drain is told goes out all the same", "drain"},
-    {"slot-without-generation", Plant::slotWithoutNewGeneration,
-     "a slot is used again without a new generation", "no-leak"},
+     "a part is sent to a server in the turn in which its drain is reported", "drain"},
+    {"slot-without-generation", Plant::slotWithoutNewGeneration, "a slot is reused with its old generation",
+     "no-leak"},
     {"reset-for-connect", Plant::resetTakenForConnect,
-     "what was written whole is said never to have connected", "written"},
-    {"shared-id", Plant::sharedId, "a newer attempt goes where the older one's answer may still come",
-     "nothing-after"},
-    {"answer-twice", Plant::answerTwice, "a query that has its answer gets another one", "one-answer"},
-    {"keyed-again", Plant::keyedAgain, "the limit on attempts and the window for repeats are not looked at",
+     "an attempt that was written completely ends as not connected", "written"},
+    {"shared-id", Plant::sharedId,
+     "a newer attempt uses a connection on which the older one's answer may still arrive", "nothing-after"},
+    {"answer-twice", Plant::answerTwice, "a query that has been answered is answered again", "one-answer"},
+    {"keyed-again", Plant::keyedAgain, "the limit on attempts and the window for repeats are ignored",
      "window"},
     {"foreign-value", Plant::foreignValue, "an answer counts for another part on its connection",
      "own-value"},
     {"leak-on-withdraw", Plant::leakOnWithdraw,
-     "an attempt taken back in its own turn is still counted as out", "no-leak"},
-    {"short-answer", Plant::shortAnswer, "a phase that can come no further is answered from whatever is in",
-     "least-share"},
-    {"look-after-end", Plant::lookAfterEnd, "a query in phases keeps its next look when it ends", "no-leak"},
-    {"late-backstop", Plant::lateBackstop, "nothing ends a query that the module leaves open", "in-time"},
+     "an attempt withdrawn in the turn that created it still counts as outstanding", "no-leak"},
+    {"short-answer", Plant::shortAnswer,
+     "a phase that expects no further answers is answered from those it has, however few", "least-share"},
+    {"look-after-end", Plant::lookAfterEnd, "a query in phases keeps its evaluation timer when it ends",
+     "no-leak"},
+    {"late-backstop", Plant::lateBackstop, "no backstop ends a query that the decision module leaves open",
+     "in-time"},
 };
 
 const std::map<std::string, Scope> kSizes = {
@@ -69,8 +71,9 @@
   std::string scenarioFile;
 };
 
-int listPlants() {
-  for (const Planted& p : kPlants) std::printf("%-24s %s (caught by %s)\n", p.name, p.what, p.property);
+int listFaults() {
+  for (const FaultInfo& fault : kFaults)
+    std::printf("%-24s %s (caught by %s)\n", fault.name, fault.what, fault.property);
   return 0;
 }
 
@@ -84,104 +87,112 @@
                           {"memory_mb", r.memoryMb},
                           {"plant", o.plant.empty() ? nlohmann::json() : nlohmann::json(o.plant)},
                           {"broken", nullptr}};
-    if (r.found)
-      out["broken"] = {{"property", r.found->property},
-                       {"what", r.found->what},
-                       {"trace", check::trace(o.scope, *r.found)}};
+    if (r.counterexample)
+      out["broken"] = {{"property", r.counterexample->property},
+                       {"what", r.counterexample->what},
+                       {"trace", check::trace(o.scope, *r.counterexample)}};
     std::printf("%s\n", out.dump(2).c_str());
     return;
   }
   std::printf("%llu %s, %llu transitions, depth %d, %.1f s, %llu MB\n", (unsigned long long)r.states,
               o.walk ? "walks" : "states", (unsigned long long)r.transitions, r.depth, r.seconds,
               (unsigned long long)r.memoryMb);
-  if (!r.found) {
+  if (!r.counterexample) {
     std::printf("%s\n", o.walk ? "all properties hold on these walks"
                         : r.complete
                             ? "all properties hold in every state"
-                            : "all properties hold so far; a limit was reached: not every state seen");
+                            : "all properties hold so far; a limit was reached, not every state was visited");
     return;
   }
-  std::printf("\n%s", check::trace(o.scope, *r.found).c_str());
+  std::printf("\n%s", check::trace(o.scope, *r.counterexample).c_str());
   for (const check::Property& p : check::kProperties)
-    if (r.found->property == p.name) std::printf("%s: %s\n", p.name, p.sentence);
+    if (r.counterexample->property == p.name) std::printf("%s: %s\n", p.name, p.sentence);
 }
 
 int run(const Options& o) {
-  if (o.plant == "list") return listPlants();
-  for (const Planted& p : kPlants)
-    if (o.plant == p.name) net::planted = p.plant;
-  const check::Progress progress = [&](int depth, std::uint64_t fresh, std::uint64_t all) {
+  if (o.plant == "list") return listFaults();
+  for (const FaultInfo& fault : kFaults)
+    if (o.plant == fault.name) net::planted = fault.fault;
+  const check::Progress progress = [&](int depth, std::uint64_t newStates, std::uint64_t allStates) {
     if (!o.quiet && !o.json)
-      std::fprintf(stderr, "depth %d: %llu new, %llu in all\n", depth, (unsigned long long)fresh,
-                   (unsigned long long)all);
+      std::fprintf(stderr, "depth %d: %llu new states, %llu in total\n", depth, (unsigned long long)newStates,
+                   (unsigned long long)allStates);
   };
   const Result r =
       o.walk ? check::walk(o.scope, o.walk, o.seed) : check::explore(o.scope, o.limits, progress);
   report(o, r);
-  if (r.found && !o.scenarioFile.empty()) {
+  if (r.counterexample && !o.scenarioFile.empty()) {
     std::ofstream file(o.scenarioFile);
-    file << check::scenario(o.scope, *r.found);
+    file << check::scenario(o.scope, *r.counterexample);
     if (!file.flush()) {
       std::fprintf(stderr, "cometdeal: cannot write '%s'\n", o.scenarioFile.c_str());
       return 2;
     }
   }
-  return r.found ? 1 : r.complete || o.walk ? 0 : 3;
+  return r.counterexample ? 1 : r.complete || o.walk ? 0 : 3;
 }
 
 }  // namespace
 
 void addCheck(CLI::App& app, int& status) {
   auto o = std::make_shared<Options>();
-  CLI::App* c = app.add_subcommand("check", "explore every state of attempts and connections at small sizes");
+  CLI::App* c =
+      app.add_subcommand("check", "explore every state of attempts and connections in small models");
   c->footer(
-      "A world of a few queries, parts, servers and connections in which anything may happen that the\n"
-      "protocol allows; the code explored is the code that serves. Ends with 0 if all properties hold, 1\n"
-      "with a shortest counterexample, 2 for bad arguments, 3 if a limit cut the exploration short.\n\n"
-      "  cometdeal check                          the tiny size, every state\n"
-      "  cometdeal check --size medium            two queries at once\n"
-      "  cometdeal check --plant list             faults that can be planted\n"
-      "  cometdeal check --plant shared-id        must end with 1\n"
+      "Explores a model of a few queries, parts, servers and connections in which anything may happen that\n"
+      "the protocol allows. The explored code is the code that serves. Exit status: 0 all properties hold,\n"
+      "1 a property is violated (prints a shortest counterexample), 2 bad arguments, 3 a limit was reached\n"
+      "before every state was visited.\n\n"
+      "  cometdeal check                          every state of the tiny size\n"
+      "  cometdeal check --size medium            two concurrent queries\n"
+      "  cometdeal check --plant list             list the faults that can be injected\n"
+      "  cometdeal check --plant shared-id        inject a fault; must exit with status 1\n"
       "  cometdeal check --size large --walk 2000000 --seed 7");
-  std::vector<std::string> sizes, plants{"list"};
+  std::vector<std::string> sizes, faults{"list"};
   for (const auto& [name, scope] : kSizes) sizes.push_back(name);
-  for (const Planted& p : kPlants) plants.emplace_back(p.name);
-  c->add_option("--size", o->size, "a scope to begin from")
+  for (const FaultInfo& fault : kFaults) faults.emplace_back(fault.name);
+  c->add_option("--size", o->size, "predefined size of the model; the options below change it")
       ->check(CLI::IsMember(sizes))
       ->capture_default_str();
-  const auto bound = [&](const char* name, int Scope::*what, int least, int most, const char* text) {
+  const auto addBound = [&](const char* name, int Scope::*member, int minimum, int maximum,
+                            const char* text) {
     c->add_option_function<int>(
-         name, [o, what](const int& value) { o->scope.*what = value; }, text)
-        ->check(CLI::Range(least, most));
+         name, [o, member](const int& value) { o->scope.*member = value; }, text)
+        ->check(CLI::Range(minimum, maximum));
   };
-  // Options are taken in the order of their definition, so what changes the size comes after it.
+  // CLI11 processes options in the order of their definition, so the options that change the size follow it.
   c->get_option("--size")->each([o](const std::string& name) {
     if (kSizes.contains(name)) o->scope = kSizes.at(name);
   });
-  bound("--queries", &Scope::queries, 1, 9, "queries");
-  bound("--parts", &Scope::parts, 1, 9, "parts of a query");
-  bound("--servers", &Scope::servers, 1, 9, "leaf servers");
-  bound("--links", &Scope::linksPerServer, 1, 9, "connections a server");
-  bound("--attempts", &Scope::attempts, 1, 9, "attempts of a part");
-  bound("--sends", &Scope::sends, 1, 99, "sends of the module in one history");
-  bound("--faults", &Scope::faults, 0, 99, "faults of any kind in one history");
-  bound("--ticks", &Scope::ticks, 1, 20, "steps of 0.3 s until the clients' time ends");
-  bound("--actions", &Scope::actions, 1, 4, "actions of the module in one turn");
+  addBound("--queries", &Scope::queries, 1, 9, "queries");
+  addBound("--parts", &Scope::parts, 1, 9, "parts per query");
+  addBound("--servers", &Scope::servers, 1, 9, "leaf servers");
+  addBound("--links", &Scope::linksPerServer, 1, 9, "connections per server");
+  addBound("--attempts", &Scope::attempts, 1, 9, "attempts per part");
+  addBound("--sends", &Scope::sends, 1, 99, "parts that the decision module sends in one history");
+  addBound("--faults", &Scope::faults, 0, 99, "faults of any kind in one history");
+  addBound("--ticks", &Scope::ticks, 1, 20, "steps of 0.3 s until the clients' deadline");
+  addBound("--actions", &Scope::actions, 1, 4, "actions of the decision module per turn");
   c->add_flag_callback(
-      "--second-step", [o] { o->scope.secondStep = true, o->scope.keyed = false; },
-      "query 0 is of a class with a second step, not keyed");
+      "--second-step",
+      [o] {
+        o->scope.secondStep = true;
+        o->scope.keyed = false;
+      },
+      "query 0 belongs to a class with a second step and is not keyed");
   c->add_option("--threads", o->limits.threads, "threads")->check(CLI::Range(1, 64))->capture_default_str();
-  c->add_option("--states", o->limits.states, "explore no more than about so many states")
+  c->add_option("--states", o->limits.states, "stop after about this many states")->capture_default_str();
+  c->add_option("--depth", o->limits.depth, "stop after this many transitions from the initial state")
+      ->check(CLI::Range(1, 100000));
+  c->add_option("--memory-mb", o->limits.memoryMb, "stop at this much resident memory, in MB")
       ->capture_default_str();
-  c->add_option("--depth", o->limits.depth, "explore no deeper")->check(CLI::Range(1, 100000));
-  c->add_option("--memory-mb", o->limits.memoryMb, "stop at so much memory")->capture_default_str();
-  c->add_option("--plant", o->plant, "plant a fault, or 'list'")->check(CLI::IsMember(plants));
-  c->add_option("--walk", o->walk, "so many random steps in place of every state")
+  c->add_option("--plant", o->plant, "inject a fault; 'list' lists them")->check(CLI::IsMember(faults));
+  c->add_option("--walk", o->walk, "take this many random steps instead of exploring every state")
       ->check(CLI::PositiveNumber);
-  c->add_option("--seed", o->seed, "of the walk")->needs("--walk");
-  c->add_option("--scenario", o->scenarioFile, "write a counterexample as a scenario to this file");
-  c->add_flag("--json", o->json, "the result as JSON");
-  c->add_flag("--quiet", o->quiet, "no progress");
+  c->add_option("--seed", o->seed, "seed of the random walk")->needs("--walk");
+  c->add_option("--scenario", o->scenarioFile, "write the counterexample as a scenario to this file");
+  c->add_flag("--json", o->json, "print the result as JSON");
+  c->add_flag("--quiet", o->quiet, "print no progress");
   c->callback([o, &status] { status = run(*o); });
 }
 
--- a/src/tool/check.hpp
+++ b/src/tool/check.hpp
@@ -1,12 +1,12 @@
-// `cometdeal check`: explores the state machines of attempts and connections.
+// `cometdeal check`: model checker for the state machines of attempts and connections.
 #pragma once
 
 #include <CLI/App.hpp>
 
 namespace cometdeal::tool {
 
-// Adds the command. `status` becomes what the program ends with: 0 all properties hold, 1 one is broken, 3
-// the exploration was cut short by a limit.
+// Adds the command. `status` receives the exit status: 0 all properties hold, 1 one is violated, 3 a limit
+// was reached before every state was visited, 2 the scenario file cannot be written.
 void addCheck(CLI::App& app, int& status);
 
 }  // namespace cometdeal::tool
--- a/src/tool/lab.cpp
+++ b/src/tool/lab.cpp
@@ -23,9 +23,9 @@
 namespace cometdeal::tool {
 namespace {
 
-using emulator::Knows;
-using emulator::Model;
+using emulator::Knowledge;
 using emulator::Report;
+using emulator::SimulationConfig;
 namespace acc = boost::accumulators;
 using Mean = acc::accumulator_set<double, acc::stats<acc::tag::mean, acc::tag::variance>>;
 
@@ -39,16 +39,16 @@
 
 // ---- Two phases ------------------------------------------------------------------------------------------
 
-struct Way {
+struct Variant {
   const char* name;
-  std::function<void(Model&)> set;
+  std::function<void(SimulationConfig&)> apply;
 };
 
-std::shared_ptr<phases::Plan> plan(bool two) {
+std::shared_ptr<phases::Plan> makePlan(bool twoPhases) {
   auto out = std::make_shared<phases::Plan>();
-  out->phases.resize(two ? 2 : 1);
+  out->phases.resize(twoPhases ? 2 : 1);
   out->phases[0].least = 0.75;
-  if (!two) return out;
+  if (!twoPhases) return out;
   out->phases[0].claim = 0.6;
   out->phases[1].claim = 0.4;
   out->phases[1].least = 0.5;
@@ -56,35 +56,47 @@
   return out;
 }
 
-const std::vector<Way>& ways() {
-  static const std::vector<Way> all{
-      {"today", [](Model& m) { m.cls.plan = nullptr; }},
-      {"no second", [](Model& m) { m.cls.plan = plan(false); }},
-      {"fixed split", [](Model& m) { m.cls.plan = plan(true), m.knows = Knows::claims; }},
-      {"learned", [](Model& m) { m.cls.plan = plan(true), m.knows = Knows::learned; }},
-      {"oracle", [](Model& m) { m.cls.plan = plan(true), m.knows = Knows::oracle; }}};
+const std::vector<Variant>& variants() {
+  static const std::vector<Variant> all{
+      {"today", [](SimulationConfig& config) { config.cls.plan = nullptr; }},
+      {"no second", [](SimulationConfig& config) { config.cls.plan = makePlan(false); }},
+      {"fixed split",
+       [](SimulationConfig& config) {
+         config.cls.plan = makePlan(true);
+         config.knowledge = Knowledge::claims;
+       }},
+      {"learned",
+       [](SimulationConfig& config) {
+         config.cls.plan = makePlan(true);
+         config.knowledge = Knowledge::learned;
+       }},
+      {"oracle", [](SimulationConfig& config) {
+         config.cls.plan = makePlan(true);
+         config.knowledge = Knowledge::oracle;
+       }}};
   return all;
 }
 
 struct Point {
   double load = 0, delayMs = 0;
-  std::size_t way = 0;
+  std::size_t variant = 0;
   Mean worth, inTime, p50, p99, work, cut, skipped, failed;
-  std::uint64_t faults = 0;
+  std::uint64_t wrongAnswers = 0;
 };
 
-Model modelOf(const Point& point, const Options& options, int seed) {
-  Model m;
-  m.cls.first = {10, 0.9};
-  m.cls.second = {8, 0.9};
-  m.leaf.gapLeast = 1'500'000, m.leaf.gapMost = 4'000'000;
-  m.load = point.load;
-  m.lateBy = Micros(point.delayMs * 1e3);
-  m.lateChance = point.delayMs > 0 ? 0.05 : 0;
-  m.span = Micros(options.seconds * 1e6);
-  m.seed = std::uint64_t(seed);
-  ways()[point.way].set(m);
-  return m;
+SimulationConfig configFor(const Point& point, const Options& options, int seed) {
+  SimulationConfig config;
+  config.cls.first = {10, 0.9};
+  config.cls.second = {8, 0.9};
+  config.leaf.minGap = 1'500'000;
+  config.leaf.maxGap = 4'000'000;
+  config.load = point.load;
+  config.extraDelay = Micros(point.delayMs * 1e3);
+  config.extraDelayProbability = point.delayMs > 0 ? 0.05 : 0;
+  config.measuredTime = Micros(options.seconds * 1e6);
+  config.seed = std::uint64_t(seed);
+  variants()[point.variant].apply(config);
+  return config;
 }
 
 void runAll(std::vector<Point>& points, const Options& options) {
@@ -92,21 +104,27 @@
   std::vector<Report> reports(jobs);
   std::atomic<std::size_t> next = 0;
   std::vector<std::thread> threads;
-  const unsigned n = options.threads ? options.threads : std::max(1u, std::thread::hardware_concurrency());
-  for (unsigned t = 0; t < n; ++t)
+  const unsigned threadCount =
+      options.threads ? options.threads : std::max(1u, std::thread::hardware_concurrency());
+  for (unsigned t = 0; t < threadCount; ++t)
     threads.emplace_back([&] {
       for (std::size_t k; (k = next++) < jobs;)
-        reports[k] = emulator::play(modelOf(points[k / std::size_t(options.seeds)], options,
-                                            1 + int(k % std::size_t(options.seeds))));
+        reports[k] = emulator::simulate(configFor(points[k / std::size_t(options.seeds)], options,
+                                                  1 + int(k % std::size_t(options.seeds))));
     });
   for (std::thread& t : threads) t.join();
   for (std::size_t k = 0; k < jobs; ++k) {
     Point& p = points[k / std::size_t(options.seeds)];
     const Report& r = reports[k];
-    p.worth(r.worth), p.inTime(r.share(double(r.inTime))), p.p50(r.p50), p.p99(r.p99), p.work(r.work);
-    p.cut(r.share(double(r.cut))), p.skipped(r.share(double(r.skipped)));
+    p.worth(r.worth);
+    p.inTime(r.share(double(r.inTime)));
+    p.p50(r.p50);
+    p.p99(r.p99);
+    p.work(r.work);
+    p.cut(r.share(double(r.cut)));
+    p.skipped(r.share(double(r.skipped)));
     p.failed(r.share(double(r.refused + r.failed)));
-    p.faults += r.shortOfLeast + r.wronglyExact;
+    p.wrongAnswers += r.belowMinimum + r.wronglyComplete;
   }
 }
 
@@ -115,7 +133,7 @@
               "in time", "p50 ms", "p99 ms", "work ms", "cut", "skipped", "refused");
   for (const Point& p : points)
     std::printf("%5.2f %8.0f  %-12s %7.4f %6.4f %7.1f%% %8.1f %8.1f %9.1f %5.1f%% %7.1f%% %6.1f%%\n", p.load,
-                p.delayMs, ways()[p.way].name, acc::mean(p.worth), std::sqrt(acc::variance(p.worth)),
+                p.delayMs, variants()[p.variant].name, acc::mean(p.worth), std::sqrt(acc::variance(p.worth)),
                 100 * acc::mean(p.inTime), acc::mean(p.p50), acc::mean(p.p99), acc::mean(p.work),
                 100 * acc::mean(p.cut), 100 * acc::mean(p.skipped), 100 * acc::mean(p.failed));
 }
@@ -125,7 +143,7 @@
   std::ofstream out(path);
   out << "load,late_ms,way,worth,in_time,p50_ms,p99_ms,work_ms,cut,skipped,refused\n";
   for (const Point& p : points)
-    out << p.load << ',' << p.delayMs << ',' << ways()[p.way].name << ',' << acc::mean(p.worth) << ','
+    out << p.load << ',' << p.delayMs << ',' << variants()[p.variant].name << ',' << acc::mean(p.worth) << ','
         << acc::mean(p.inTime) << ',' << acc::mean(p.p50) << ',' << acc::mean(p.p99) << ','
         << acc::mean(p.work) << ',' << acc::mean(p.cut) << ',' << acc::mean(p.skipped) << ','
         << acc::mean(p.failed) << '\n';
@@ -133,20 +151,20 @@
 }
 
 #ifdef COMETDEAL_PLOTS
-// One line for each way, of the points that `take` picks; x and y as they say.
+// Plots one line for each variant, from the points that `select` accepts.
 void plot(const std::vector<Point>& points, const std::string& path, const char* xName, const char* yName,
-          const std::function<bool(const Point&)>& take, const std::function<double(const Point&)>& x,
+          const std::function<bool(const Point&)>& select, const std::function<double(const Point&)>& x,
           const std::function<double(const Point&)>& y) {
   Gnuplot gp;
   gp << "set terminal svg size 760,460 font 'sans,13' background rgb 'white'\nset output '" << path << "'\n"
      << "set xlabel '" << xName << "'\nset ylabel '" << yName << "'\nset grid\nset key left bottom\nplot ";
-  for (std::size_t w = 0; w < ways().size(); ++w)
-    gp << (w ? ", " : "") << "'-' with linespoints lw 2 title '" << ways()[w].name << "'";
+  for (std::size_t w = 0; w < variants().size(); ++w)
+    gp << (w ? ", " : "") << "'-' with linespoints lw 2 title '" << variants()[w].name << "'";
   gp << "\n";
-  for (std::size_t w = 0; w < ways().size(); ++w) {
+  for (std::size_t w = 0; w < variants().size(); ++w) {
     std::vector<std::pair<double, double>> line;
     for (const Point& p : points)
-      if (p.way == w && take(p)) line.emplace_back(x(p), y(p));
+      if (p.variant == w && select(p)) line.emplace_back(x(p), y(p));
     gp.send1d(line);
   }
 }
@@ -172,9 +190,11 @@
 int phasesLab(const Options& options) {
   std::vector<Point> points;
   const auto add = [&](double load, double delay) {
-    for (std::size_t w = 0; w < ways().size(); ++w) {
+    for (std::size_t w = 0; w < variants().size(); ++w) {
       Point p;
-      p.load = load, p.delayMs = delay, p.way = w;
+      p.load = load;
+      p.delayMs = delay;
+      p.variant = w;
       points.push_back(std::move(p));
     }
   };
@@ -183,47 +203,48 @@
   for (const double delay : options.quick ? std::vector<double>{100} : delays) add(0.9, delay);
   runAll(points, options);
   print(points);
-  // Of the gap between a way and the oracle, what the learned split closes.
+  // How much of the gap in worth between a variant and the oracle the learned split closes.
   std::printf("\n%5s %8s  %22s %22s\n", "load", "late ms", "closed of today's gap", "of the fixed split's");
-  std::uint64_t faults = 0;
-  for (std::size_t k = 0; k < points.size(); k += ways().size()) {
-    const auto worth = [&](std::size_t way) { return acc::mean(points[k + way].worth); };
-    const auto closed = [&](std::size_t from) {
+  std::uint64_t wrongAnswers = 0;
+  for (std::size_t k = 0; k < points.size(); k += variants().size()) {
+    const auto worth = [&](std::size_t variant) { return acc::mean(points[k + variant].worth); };
+    const auto gapClosed = [&](std::size_t from) {
       const double gap = worth(4) - worth(from);
       char text[32];
       std::snprintf(text, sizeof text, gap > 0.002 ? "%.0f %% of %.3f" : "- (no gap)",
                     100 * (worth(3) - worth(from)) / gap, gap);
       return std::string(text);
     };
-    std::printf("%5.2f %8.0f  %22s %22s\n", points[k].load, points[k].delayMs, closed(0).c_str(),
-                closed(2).c_str());
-    for (std::size_t w = 0; w < ways().size(); ++w) faults += points[k + w].faults;
+    std::printf("%5.2f %8.0f  %22s %22s\n", points[k].load, points[k].delayMs, gapClosed(0).c_str(),
+                gapClosed(2).c_str());
+    for (std::size_t w = 0; w < variants().size(); ++w) wrongAnswers += points[k + w].wrongAnswers;
   }
-  std::printf("answers short of a least share or wrongly exact: %lu\n", (unsigned long)faults);
+  std::printf("answers below a minimum share or wrongly marked complete: %lu\n", (unsigned long)wrongAnswers);
   writeCsv(points, options.csv);
   plots(points, options.svg);
-  return faults ? 1 : 0;
+  return wrongAnswers ? 1 : 0;
 }
 
 }  // namespace
 
 void addLab(CLI::App& app, int& status) {
   const auto options = std::make_shared<Options>();
-  CLI::App* lab = app.add_subcommand("lab", "Experiments in the emulator: a fleet in virtual time");
+  CLI::App* lab =
+      app.add_subcommand("lab", "Experiments in the emulator, which simulates a fleet in virtual time");
   lab->require_subcommand(1);
   CLI::App* phases = lab->add_subcommand(
       "phases", "Queries in two phases: the learned split of time against fixed ones and an oracle");
-  phases->add_option("--seconds", options->seconds, "Virtual time that is counted in each run")
+  phases->add_option("--seconds", options->seconds, "Measured virtual time of each run, in seconds")
       ->check(CLI::Range(1.0, 3600.0))
       ->capture_default_str();
-  phases->add_option("--seeds", options->seeds, "Runs of each point")
+  phases->add_option("--seeds", options->seeds, "Runs per point, each with a seed of its own")
       ->check(CLI::Range(1, 100))
       ->capture_default_str();
-  phases->add_option("--threads", options->threads, "0: as many as there are cores")
+  phases->add_option("--threads", options->threads, "Number of threads; 0: one per core")
       ->check(CLI::Range(0, 256));
-  phases->add_flag("--quick", options->quick, "Two points only");
-  phases->add_option("--csv", options->csv, "Writes the table to a file");
-  phases->add_option("--svg", options->svg, "Writes the plots to a folder")->check(CLI::ExistingDirectory);
+  phases->add_flag("--quick", options->quick, "Run two points only");
+  phases->add_option("--csv", options->csv, "Write the table to this file");
+  phases->add_option("--svg", options->svg, "Write the plots to this folder")->check(CLI::ExistingDirectory);
   phases->callback([options, &status] { status = phasesLab(*options); });
 }
 
--- a/src/tool/lab.hpp
+++ b/src/tool/lab.hpp
@@ -5,7 +5,7 @@
 
 namespace cometdeal::tool {
 
-// Adds the command. `status` becomes 1 if an answer broke what must hold.
+// Adds the command. `status` becomes 1 if some answer was wrong (see emulator::Report).
 void addLab(CLI::App& app, int& status);
 
 }  // namespace cometdeal::tool
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -1,4 +1,4 @@
-// The tool of operators and developers.
+// `cometdeal`: command-line tool for operators and developers.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -7,7 +7,7 @@
 #include "lab.hpp"
 
 int main(int argc, char** argv) {
-  CLI::App app("cometdeal: a mixer (query aggregator) and what goes with it", "cometdeal");
+  CLI::App app("cometdeal: tools for a mixer (query aggregator)", "cometdeal");
   app.require_subcommand(1);
   int status = 0;
   cometdeal::tool::addCheck(app, status);
--- a/tests/plants.sh
+++ b/tests/plants.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Each fault that can be planted is found by the property meant for it, with a trace and status 1.
+# Injects each fault in turn and checks that the model checker reports a violation of the expected property, with
+# a trace and exit status 1.
 set -u
 tool=$1 failed=0 count=0
 while read -r name property; do
   count=$((count + 1))
   case $name in
-    short-answer | look-after-end) sizes=phases ;;  # only a query in phases meets them
+    short-answer | look-after-end) sizes=phases ;;  # these affect only queries in phases
     *) sizes="tiny small" ;;
   esac
   for size in $sizes; do
@@ -14,10 +15,10 @@
     [ $status -eq 1 ] && break
   done
   if [ $status -ne 1 ] || ! grep -q "^broken: $property: " <<<"$out" || ! grep -q '^1\. ' <<<"$out"; then
-    echo "$name: status $status, wanted 1 and 'broken: $property'; got:"
+    echo "$name: status $status, expected 1 and 'broken: $property'; got:"
     echo "$out"
     failed=1
   fi
 done < <("$tool" check --plant list | sed -E 's/^([a-z-]+) .*\(caught by ([a-z-]+)\)$/\1 \2/')
-[ $count -ge 8 ] || { echo "only $count faults can be planted"; failed=1; }
+[ $count -ge 8 ] || { echo "only $count faults can be injected"; failed=1; }
 exit $failed
