--- a/src/check/properties.hpp
+++ b/src/check/properties.hpp
@@ -15,8 +15,8 @@
 inline constexpr Property kNothingAfter{"nothing-after",
                                         "No part begins to be sent after its query's final answer."};
 inline constexpr Property kAttempts{"attempts", "A part has no more attempts than its class allows."};
-inline constexpr Property kWindow{"window",
-                                  "A keyed part that may have run is sent again only inside its window."};
+inline constexpr Property kWindow{
+    "window", "A keyed part that may have run is sent again only within its repeat window."};
 inline constexpr Property kDrain{
     "drain",
     "No part begins to be sent to a server later than 1 s after it was reported as draining or removed."};
--- a/src/check/world.cpp
+++ b/src/check/world.cpp
@@ -10,11 +10,11 @@
 
 using namespace net;
 
-constexpr Micros kTick = 300'000;  // longer than the shortest time limit of the links
+constexpr Micros kTick = 300'000;  // longer than the shortest time limit of the connections to leaf servers
 constexpr Micros kStart = 1'000'000'000;
 constexpr std::uint16_t kPort = 4000;
 
-std::shared_ptr<const Ledger::Rules> rules(const Scope& scope) {
+std::shared_ptr<const Ledger::Rules> trackerConfig(const Scope& scope) {
   Ledger::Rules out;
   ClassSettings safe, keyed, plan;
   safe.aim = safe.deadline = keyed.aim = keyed.deadline = plan.aim = plan.deadline = scope.ticks * kTick;
@@ -36,7 +36,7 @@
   out.frameTime = kTick;
   out.silentLeast = out.silentMost = kTick;  // fixed, so that no smoothed time is part of the state
   out.streams = scope.parts * scope.queries;
-  out.linksMost = scope.servers * scope.linksPerServer;
+  out.linksMost = scope.servers * scope.connectionsPerServer;
   out.pastMost = 4;
   return out;
 }
@@ -63,40 +63,40 @@
 
 }  // namespace
 
-// Forwards commands to the links and records which attempts they were given. As in production, the effects of
-// a command are processed before the next command.
+// Forwards commands to the leaf connections and records which attempts they were given. As in production, the
+// effects of a command are processed before the next command.
 struct Model::LeafSideAdapter {
   Model& model;
   void send(const std::string& server, std::vector<Call> calls) {
     for (const Call& call : calls) model.attempts_[number(call.attempt)] = {call.id, false, false};
-    model.links_.send(server, std::move(calls));
+    model.connections_.send(server, std::move(calls));
     model.processEffects();
   }
   void giveUp(Handle attempt) {
     model.attempts_.erase(number(attempt));
-    model.links_.giveUp(attempt);
+    model.connections_.giveUp(attempt);
     model.processEffects();
   }
   void withdraw(Handle attempt) {
-    model.links_.withdraw(attempt);
+    model.connections_.withdraw(attempt);
     model.processEffects();
   }
   void forget(const std::string& id) {
-    model.links_.forget(id);
+    model.connections_.forget(id);
     model.processEffects();
   }
 };
 
 Model::Model(const Scope& scope)
     : scope_(std::make_shared<const Scope>(scope)),
-      ledger_(rules(scope), &counters_),
-      links_(limits(scope), &counters_),
+      tracker_(trackerConfig(scope), &counters_),
+      connections_(limits(scope), &counters_),
       now_(kStart),
       queries_(std::size_t(scope.queries)),
       servers_(std::size_t(scope.servers), ServerState::serving),
       startedMs_(std::size_t(scope.servers), 0) {
   // A constant replaces the learned latencies, so that they are not part of the state.
-  ledger_.phaseNeeds = [](const std::string&, int, std::size_t, double) {
+  tracker_.phaseNeeds = [](const std::string&, int, std::size_t, double) {
     return std::optional<Micros>(kTick);
   };
   attach();
@@ -112,10 +112,10 @@
 // Points the state machines to the counters and the time of this object, which may be a copy of another
 // model.
 void Model::attach() {
-  ledger_.countTo(&counters_);
-  links_.countTo(&counters_);
-  ledger_.at(now_);
-  links_.at(now_);
+  tracker_.countTo(&counters_);
+  connections_.countTo(&counters_);
+  tracker_.at(now_);
+  connections_.at(now_);
 }
 
 void Model::reportViolation(const char* property, std::string what) {
@@ -123,7 +123,7 @@
 }
 
 std::optional<Ledger::Sight::Part> Model::partOf(Step step) const {
-  for (const Ledger::Sight& q : ledger_.sight())
+  for (const Ledger::Sight& q : tracker_.sight())
     if (q.handle == queries_[step.a].handle && step.b < q.parts.size()) return q.parts[step.b];
   return std::nullopt;
 }
@@ -134,20 +134,20 @@
   return queries_.size();
 }
 
-Model::Socket* Model::socketFor(Handle link) {
+Model::Socket* Model::socketFor(Handle connection) {
   for (Socket& s : sockets_)
-    if (!s.closedHere && s.link == link) return &s;
+    if (!s.closedHere && s.connection == connection) return &s;
   return nullptr;
 }
 
-void Model::updateServer(int server, ServerState state, std::int64_t sinceMs) {
+void Model::updateServer(int server, ServerState state, std::int64_t startedMs) {
   LeafEntry entry;
   entry.name = "s" + std::to_string(server);
   entry.address = {"127.0.0.1", std::uint16_t(kPort + server)};
   entry.state = state;
-  entry.sinceMs = sinceMs;
+  entry.sinceMs = startedMs;
   servers_[std::size_t(server)] = state;
-  links_.update(entry);
+  connections_.update(entry);
 }
 
 // ---- Enabled steps ---------------------------------------------------------------------------------------
@@ -163,7 +163,7 @@
     if (actions_ >= scope_->actions) return out;
     bool sentAny = false;
     for (const auto& [id, observation] : parts_) sentAny = sentAny || observation.sendsBegun > 0;
-    for (const Ledger::Sight& q : ledger_.sight()) {
+    for (const Ledger::Sight& q : tracker_.sight()) {
       const std::size_t index = queryIndex(q.handle);
       // A refusal stands for a failure too, which the state machines treat alike. Refusing a query that has
       // ended must have no effect.
@@ -239,9 +239,10 @@
       if (servers_[k] == ServerState::serving) add(StepKind::serverRemoved, k);
       if (servers_[k] == ServerState::serving && startedMs_[k] == 0) add(StepKind::serverRestarts, k);
     }
-  if (timersDue_) add(StepKind::runDueTimers, 0);
-  if (linksDue_) add(StepKind::runDueTimers, 1);
-  if (!timersDue_ && !linksDue_ && ticks_ < scope_->ticks && queries_[0].submitted) add(StepKind::tick);
+  if (trackerTimersDue_) add(StepKind::runDueTimers, 0);
+  if (connectionTimersDue_) add(StepKind::runDueTimers, 1);
+  if (!trackerTimersDue_ && !connectionTimersDue_ && ticks_ < scope_->ticks && queries_[0].submitted)
+    add(StepKind::tick);
   return out;
 }
 
@@ -263,17 +264,17 @@
       q.text = "t";
       QueryObservation& observation = queries_[step.a];
       observation.submitted = true;
-      if (ledger_.submit(std::move(q), observation.handle) != Ledger::Taken::open)
+      if (tracker_.submit(std::move(q), observation.handle) != Ledger::Taken::open)
         reportViolation(kOneAnswer.name, "a query is not accepted");
       break;
     }
     case StepKind::clientDisconnects:
       fault();
       queries_[step.a].clientGone = true;
-      ledger_.abandon(queries_[step.a].handle);
+      tracker_.abandon(queries_[step.a].handle);
       break;
     case StepKind::beginTurn:
-      ledger_.takeEvents();
+      tracker_.takeEvents();
       inTurn_ = true;
       newEvents_ = false;
       actions_ = 0;
@@ -281,31 +282,31 @@
     case StepKind::send:
       ++actions_, ++sends_;
       if (const auto part = partOf(step))
-        ledger_.act(Send{part->id, "s" + std::to_string(step.c), part->live.empty() ? kTick : 0});
+        tracker_.act(Send{part->id, "s" + std::to_string(step.c), part->live.empty() ? kTick : 0});
       break;
     case StepKind::cancel:
       ++actions_;
-      if (const auto part = partOf(step)) ledger_.act(Cancel{part->id, int(step.c)});
+      if (const auto part = partOf(step)) tracker_.act(Cancel{part->id, int(step.c)});
       break;
     case StepKind::answer:
       ++actions_;
-      ledger_.act(Answer{"q" + std::to_string(step.a), true});
+      tracker_.act(Answer{"q" + std::to_string(step.a), true});
       break;
     case StepKind::refuse:
       ++actions_;
-      ledger_.act(Refuse{"q" + std::to_string(step.a), std::nullopt});
+      tracker_.act(Refuse{"q" + std::to_string(step.a), std::nullopt});
       break;
     case StepKind::endTurn:
-      ledger_.flushCalls();
+      tracker_.flushCalls();
       inTurn_ = false;
       break;
     case StepKind::connected:
       socket().connected = true;
-      links_.cameUp(socket().link, unixMs());
+      connections_.cameUp(socket().connection, unixMs());
       break;
     case StepKind::connectRefused:
       fault();
-      links_.failed(socket().link, "refused");
+      connections_.failed(socket().connection, "refused");
       break;
     case StepKind::answerOk:
     case StepKind::answerError:
@@ -318,16 +319,16 @@
       const std::string frame = answerFrame(s.unanswered[step.b], end);
       s.unanswered.erase(s.unanswered.begin() + step.b);
       s.lastAnswer = frame;
-      links_.received(s.link, frame);
+      connections_.received(s.connection, frame);
       break;
     }
     case StepKind::answerUnknownId:
       fault();
-      links_.received(socket().link, answerFrame("x", "200"));
+      connections_.received(socket().connection, answerFrame("x", "200"));
       break;
     case StepKind::answerRepeated:
       fault();
-      links_.received(socket().link, socket().lastAnswer);
+      connections_.received(socket().connection, socket().lastAnswer);
       break;
     case StepKind::answerHalf: {
       fault();
@@ -336,15 +337,15 @@
       s.unanswered.erase(s.unanswered.begin() + step.b);
       s.lastAnswer = frame;
       s.restOfAnswer = frame.substr(frame.size() / 2);
-      links_.received(s.link, std::string_view(frame).substr(0, frame.size() / 2));
+      connections_.received(s.connection, std::string_view(frame).substr(0, frame.size() / 2));
       break;
     }
     case StepKind::answerRest:
-      links_.received(socket().link, std::exchange(socket().restOfAnswer, {}));
+      connections_.received(socket().connection, std::exchange(socket().restOfAnswer, {}));
       break;
     case StepKind::connectionClosed:
       fault();
-      links_.failed(socket().link, "closed");
+      connections_.failed(socket().connection, "closed");
       break;
     case StepKind::writeBlocks:
     case StepKind::writeHalf:
@@ -353,17 +354,17 @@
       break;
     case StepKind::writeUnblocks:
       socket().writeCapacity = WriteCapacity::all;
-      if (std::exchange(socket().blockReported, false)) links_.writable(socket().link);
+      if (std::exchange(socket().blockReported, false)) connections_.writable(socket().connection);
       break;
     case StepKind::lateCallback: {
       const Socket s = socket();
       sockets_.erase(sockets_.begin() + step.a);
       if (!s.connected) {
-        links_.cameUp(s.link, unixMs());
+        connections_.cameUp(s.connection, unixMs());
         break;
       }
-      if (!s.unanswered.empty()) links_.received(s.link, answerFrame(s.unanswered[0], "200"));
-      links_.writable(s.link);
+      if (!s.unanswered.empty()) connections_.received(s.connection, answerFrame(s.unanswered[0], "200"));
+      connections_.writable(s.connection);
       break;
     }
     case StepKind::serverDrains:
@@ -380,17 +381,17 @@
     case StepKind::tick:
       ++ticks_;
       now_ += kTick;
-      timersDue_ = linksDue_ = newEvents_ = true;
+      trackerTimersDue_ = connectionTimersDue_ = newEvents_ = true;
       // No callback is delayed for as long as a tick.
       std::erase_if(sockets_, [](const Socket& s) { return s.closedHere; });
       break;
     case StepKind::runDueTimers:
       if (step.a == 0) {
-        timersDue_ = false;
-        ledger_.sweep();
+        trackerTimersDue_ = false;
+        tracker_.sweep();
       } else {
-        linksDue_ = false;
-        links_.sweep();
+        connectionTimersDue_ = false;
+        connections_.sweep();
       }
       break;
   }
@@ -405,8 +406,8 @@
   do {
     processEffects();
     processCommands();
-  } while (!ledger_.quiet() || !links_.quiet());
-  newEvents_ = newEvents_ || ledger_.hasEvents();
+  } while (!tracker_.quiet() || !connections_.quiet());
+  newEvents_ = newEvents_ || tracker_.hasEvents();
 }
 
 void Model::processCommands() {
@@ -414,7 +415,7 @@
   processingCommands_ = true;
   LeafSideAdapter side{*this};
   carryOut(
-      ledger_, side, [this](Handle query, const FinalAnswer& answer) { onFinalAnswer(query, answer); },
+      tracker_, side, [this](Handle query, const FinalAnswer& answer) { onFinalAnswer(query, answer); },
       [this](const char* what, const std::string& id) {
         if (std::string_view(what) != "the module left a query open until its end")
           reportViolation(kNoDefect.name, std::string(what) + ": " + id);
@@ -425,11 +426,11 @@
 void Model::processEffects() {
   if (processingEffects_) return;
   processingEffects_ = true;
-  while (!links_.quiet())
-    for (Links::Effect& effect : links_.take()) {
+  while (!connections_.quiet())
+    for (Links::Effect& effect : connections_.take()) {
       if (const auto* open = std::get_if<Links::Open>(&effect)) {
         Socket s;
-        s.link = open->link;
+        s.connection = open->link;
         s.server = open->address.port - kPort;
         sockets_.push_back(std::move(s));
       } else if (const auto* flush = std::get_if<Links::Flush>(&effect)) {
@@ -450,10 +451,10 @@
 
 void Model::writeOut(Socket& s) {
   for (;;) {
-    const std::string_view bytes = links_.front(s.link);
+    const std::string_view bytes = connections_.front(s.connection);
     if (bytes.empty()) return;
-    const bool begun = links_.frontBegun(s.link);
-    const std::vector<Handle> attempts = links_.frontAttempts(s.link);
+    const bool begun = connections_.frontBegun(s.connection);
+    const std::vector<Handle> attempts = connections_.frontAttempts(s.connection);
     const std::size_t n = s.writeCapacity == WriteCapacity::all    ? bytes.size()
                           : s.writeCapacity == WriteCapacity::half ? bytes.size() / 2
                                                                    : 0;
@@ -463,11 +464,11 @@
         if (const auto it = attempts_.find(number(h)); it != attempts_.end()) it->second.sendComplete = true;
       for (std::string& part : std::exchange(s.frameParts, {})) s.unanswered.push_back(std::move(part));
     }
-    if (n > 0) links_.wrote(s.link, n);
+    if (n > 0) connections_.wrote(s.connection, n);
     if (n == bytes.size()) continue;
     s.writeCapacity = WriteCapacity::none;
     s.blockReported = true;
-    links_.blocked(s.link);
+    connections_.blocked(s.connection);
     return;
   }
 }
@@ -476,7 +477,7 @@
 void Model::onFrameStart(const std::vector<Handle>& attempts, Socket& s) {
   for (const Handle h : attempts) {
     const auto it = attempts_.find(number(h));
-    const std::size_t query = queryIndex(ledger_.queryOf(h));
+    const std::size_t query = queryIndex(tracker_.queryOf(h));
     if (it == attempts_.end() || query >= queries_.size()) {
       reportViolation(kNothingAfter.name, "a part of an attempt that has ended is sent");
       continue;
@@ -525,7 +526,7 @@
   } else {
     reportViolation(kOneEnd.name, "an attempt that was not outstanding has ended");
   }
-  ledger_.ended(end.attempt, end.outcome, std::move(end.answer));
+  tracker_.ended(end.attempt, end.outcome, std::move(end.answer));
   processCommands();
 }
 
@@ -567,43 +568,45 @@
     if (!q.submitted) continue;
     const bool ended = q.finalAnswers > 0 || q.clientGone;
     allEnded = allEnded && ended;
-    if (!ended && ticks_ >= scope_->ticks && !timersDue_ && !inTurn_)
+    if (!ended && ticks_ >= scope_->ticks && !trackerTimersDue_ && !inTurn_)
       reportViolation(kInTime.name, "q" + std::to_string(k) + " has no answer at its deadline");
   }
   if (inTurn_) return;
-  const Ledger::Sums sums = ledger_.sums();
+  const Ledger::Sums sums = tracker_.sums();
   std::size_t outstanding = 0;
-  for (const Ledger::Sight& q : ledger_.sight())
+  for (const Ledger::Sight& q : tracker_.sight())
     for (const auto& part : q.parts) outstanding += std::size_t(std::ranges::count(part.live, true));
   if (outstanding != sums.attempts) reportViolation(kNoLeak.name, "an attempt is not known to any part");
-  if (outstanding != attempts_.size() || outstanding != links_.places())
-    reportViolation(kOneEnd.name, "the ledger has " + std::to_string(outstanding) +
-                                      " outstanding attempts, the links " + std::to_string(links_.places()));
+  if (outstanding != attempts_.size() || outstanding != connections_.places())
+    reportViolation(kOneEnd.name, "the query tracker has " + std::to_string(outstanding) +
+                                      " outstanding attempts, the leaf connections " +
+                                      std::to_string(connections_.places()));
   if (allEnded && outstanding == 0 &&
-      (sums.queries != 0 || sums.ids != 0 || sums.due != 0 || sums.held != 0 || ledger_.open() != 0))
+      (sums.queries != 0 || sums.ids != 0 || sums.due != 0 || sums.held != 0 || tracker_.open() != 0))
     reportViolation(kNoLeak.name, "with nothing outstanding, " + std::to_string(sums.queries) + " queries, " +
                                       std::to_string(sums.ids) + " ids, " + std::to_string(sums.due) +
                                       " timers and " + std::to_string(sums.held) +
                                       " units of open load remain");
-  if (links_.due() > 2 * links_.size()) reportViolation(kNoLeak.name, "timers without a connection");
+  if (connections_.due() > 2 * connections_.size())
+    reportViolation(kNoLeak.name, "timers without a connection");
 }
 
 // ---- Digest ----------------------------------------------------------------------------------------------
 
 std::string Model::digest() const {
   Digest to(now_);
-  to << ticks_ << faults_ << sends_ << inTurn_ << timersDue_ << linksDue_ << newEvents_
+  to << ticks_ << faults_ << sends_ << inTurn_ << trackerTimersDue_ << connectionTimersDue_ << newEvents_
      << (inTurn_ ? actions_ : 0);
   for (const QueryObservation& q : queries_) to << q.submitted << q.clientGone << q.finalAnswers;
   for (const auto& [id, part] : parts_) {
     to << id << part.sendsBegun;
     for (const auto& [attempt, sentAt] : part.mayHaveRun)
       to.time(std::max(sentAt, now_ - 2 * kTick))
-          << ledger_.nameOf({std::uint32_t(attempt), std::uint32_t(attempt >> 32)});
+          << tracker_.nameOf({std::uint32_t(attempt), std::uint32_t(attempt >> 32)});
   }
-  for (const std::int64_t since : startedMs_) to << (since != 0);
-  ledger_.digest(to);
-  links_.digest(to, [this](Handle attempt) { return ledger_.nameOf(attempt); });
+  for (const std::int64_t startedMs : startedMs_) to << (startedMs != 0);
+  tracker_.digest(to);
+  connections_.digest(to, [this](Handle attempt) { return tracker_.nameOf(attempt); });
   for (const Socket& s : sockets_) digestSocket(to, s);
   return std::move(to.bytes());
 }
@@ -617,8 +620,8 @@
 
 void Model::sortSockets() {
   std::vector<Socket> sorted;
-  for (const Handle link : links_.all())
-    if (Socket* s = socketFor(link)) sorted.push_back(std::move(*s));
+  for (const Handle connection : connections_.all())
+    if (Socket* s = socketFor(connection)) sorted.push_back(std::move(*s));
   std::vector<std::pair<std::string, Socket>> closed;
   for (Socket& s : sockets_) {
     if (!s.closedHere) continue;
--- a/src/check/world.hpp
+++ b/src/check/world.hpp
@@ -21,7 +21,7 @@
 
 // Size of the model. Every number is an upper bound.
 struct Scope {
-  int queries = 2, parts = 2, servers = 2, linksPerServer = 2, attempts = 3;
+  int queries = 2, parts = 2, servers = 2, connectionsPerServer = 2, attempts = 3;
   int sends = 4;            // by the decision module, in one history
   int faults = 1;           // of any kind, in one history
   int ticks = 3;            // steps of time; the clients' deadline is at the last one
@@ -58,7 +58,7 @@
   serverRemoved,      // a: server
   serverRestarts,     // a: server
   tick,               // time passes
-  runDueTimers,       // a: 0 those of the query state machine, 1 those of the links
+  runDueTimers,       // a: 0 those of the query tracker, 1 those of the leaf connections
 };
 // One step of the environment; what a, b and c refer to depends on the kind.
 struct Step {
@@ -87,13 +87,13 @@
  private:
   enum class WriteCapacity : std::uint8_t { all, half, none };  // how much of a frame a socket accepts
   struct Socket {
-    Handle link;
+    Handle connection;
     int server = 0;
-    bool connected = false,
-         closedHere = false;  // closedHere: closed by the mixer, a callback is still pending
+    bool connected = false;
+    bool closedHere = false;  // closed by the mixer, but a callback is still pending
     WriteCapacity writeCapacity = WriteCapacity::all;
-    bool blockReported = false;           // the links have been notified that the socket is blocked
-    std::vector<std::string> frameParts;  // parts in the frame that is being written
+    bool blockReported = false;           // `Links` has been notified that the socket is blocked
+    std::vector<std::string> frameParts;  // parts of the frame that is being written
     std::vector<std::string> unanswered;  // parts that the leaf server has received and not answered
     std::string lastAnswer;               // frame of its latest answer
     std::string restOfAnswer;             // second half of an answer of which half has arrived
@@ -123,25 +123,25 @@
   void onFrameStart(const std::vector<Handle>& attempts, Socket& s);
   void onAttemptEnded(net::Links::Ended& end);
   void onFinalAnswer(Handle query, const net::FinalAnswer& answer);
-  void updateServer(int server, ServerState state, std::int64_t sinceMs);
+  void updateServer(int server, ServerState state, std::int64_t startedMs);
   void checkInvariants();
   void reportViolation(const char* property, std::string what);
   std::optional<net::Ledger::Sight::Part> partOf(Step step) const;
   std::size_t queryIndex(Handle handle) const;
   void sortSockets();  // into an order that is the same in equivalent states
-  Socket* socketFor(Handle link);
+  Socket* socketFor(Handle connection);
   static std::string partName(int query, int part);
   std::int64_t unixMs() const;
 
   std::shared_ptr<const Scope> scope_;
   net::Counters counters_;
-  net::Ledger ledger_;
-  net::Links links_;
+  net::Ledger tracker_;
+  net::Links connections_;
   Micros now_ = 0;
   int ticks_ = 0, faults_ = 0, sends_ = 0, actions_ = 0;
   bool inTurn_ = false, newEvents_ = false;  // newEvents_: there are events for the decision module
-  // Time has passed, and the timers of the ledger or of the links have not been run since.
-  bool timersDue_ = false, linksDue_ = false;
+  // Time has passed, and the timers of the query tracker or of the leaf connections have not been run since.
+  bool trackerTimersDue_ = false, connectionTimersDue_ = false;
   bool processingCommands_ = false, processingEffects_ = false;
   std::vector<QueryObservation> queries_;
   std::map<std::string, PartObservation> parts_;
--- a/src/core/agenda.hpp
+++ b/src/core/agenda.hpp
@@ -33,9 +33,9 @@
   // Entries that are added during the pass, even if already due, wait for the next pass, so that every pass
   // ends.
   std::uint64_t mark() const { return lastSequence_; }
-  std::optional<Item> takeDue(Micros now, std::uint64_t mark) {
+  std::optional<Item> takeDue(Micros now, std::uint64_t upTo) {
     for (auto it = entries_.begin(); it != entries_.end() && it->first.first <= now; ++it) {
-      if (it->first.second > mark) continue;
+      if (it->first.second > upTo) continue;
       std::optional<Item> out = std::move(it->second);
       entries_.erase(it);
       return out;
--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -56,9 +56,9 @@
 
 class Counters {
  public:
-  void add(Count what) { ++counts_[static_cast<std::size_t>(what)]; }
+  void add(Count counter) { ++counts_[static_cast<std::size_t>(counter)]; }
   void add(Outcome outcome) { ++outcomes_[static_cast<std::size_t>(outcome)]; }
-  std::uint64_t of(Count what) const { return counts_[static_cast<std::size_t>(what)]; }
+  std::uint64_t of(Count counter) const { return counts_[static_cast<std::size_t>(counter)]; }
   std::uint64_t of(Outcome outcome) const { return outcomes_[static_cast<std::size_t>(outcome)]; }
   // Creates the counts of a class on first use. They remain when the settings no longer contain the class.
   ClassCounts& ofClass(const std::string& name) { return classes_[name]; }
--- a/src/core/flow.hpp
+++ b/src/core/flow.hpp
@@ -26,8 +26,9 @@
  public:
   enum class State : std::uint8_t { open, ended, broken };
 
-  // `kept`: nothing is discarded until release(), so that the message can be read again from the beginning.
-  explicit Flow(bool kept) : retained_(kept) {}
+  // `retained`: nothing is discarded until release(), so that the message can be read again from the
+  // beginning.
+  explicit Flow(bool retained) : retained_(retained) {}
   Flow(const Flow&) = delete;
   Flow& operator=(const Flow&) = delete;
 
@@ -38,10 +39,10 @@
     bytes_.append(bytes);
     notifyListeners();
   }
-  void end(Fields tail = {}) {
+  void end(Fields trailers = {}) {
     if (state_ != State::open) return;
     state_ = State::ended;
-    trailers_ = std::move(tail);
+    trailers_ = std::move(trailers);
     notifyListeners();
   }
   void fail() {
@@ -136,7 +137,7 @@
 // serves it. An attempt that ends as `done` supplies the answer, which may still be arriving: the query is
 // decided at that moment, and no further attempt is made.
 struct Exchange {
-  explicit Exchange(bool kept) : request(kept) {}
+  explicit Exchange(bool retained) : request(retained) {}
   Flow request;
   bool once = false;  // an attempt that may have run is never repeated, whatever the class
   // true: the answer is forwarded as it arrives; false: an attempt succeeds only when its answer is complete.
--- a/src/core/ledger.cpp
+++ b/src/core/ledger.cpp
@@ -32,7 +32,7 @@
   for (const QueryPart& p : request.parts)
     if (queriesById_.contains(partId(request.id, p.shard))) return Taken::inUse;
   count(Count::queriesTaken);
-  if (rules_->settings.maxOpen && openUnits_ >= *rules_->settings.maxOpen) {
+  if (config_->settings.maxOpen && openUnits_ >= *config_->settings.maxOpen) {
     count(Count::queriesFull);
     countQueryEnd(request.cls, FinalAnswer::Kind::refused);
     return Taken::full;
@@ -113,7 +113,7 @@
 
 // Whether the rules allow one more attempt; checked independently of the decision module.
 bool Ledger::mayAttempt(const Query& q, const Part& part) const {
-  const std::optional<int> maximum = rules_->settings.maxAttempts;
+  const std::optional<int> maximum = config_->settings.maxAttempts;
   if (maximum && int(part.attempts.size()) >= *maximum && !PLANTED(keyedAgain)) return false;
   // A request that the front could not retain in full cannot be sent again.
   if (!part.attempts.empty() && q.request.exchange && !q.request.exchange->request.whole()) return false;
@@ -143,7 +143,7 @@
   const Micros until = a.timeout > 0 ? std::min(q->request.until, now_ + a.timeout) : q->request.until;
   attempt.timeout = timers_.add(until, {Timer::Kind::timeout, h});
   Call call{h, part.id, part.shard, {}, q->text, until, startBy, number, q->request.exchange};
-  if (q->request.idempotencyKey && rules_->host.classKeyed[std::size_t(q->request.cls)])
+  if (q->request.idempotencyKey && config_->host.classKeyed[std::size_t(q->request.cls)])
     call.list += ",k=" + *q->request.idempotencyKey;
   if (q->step == 2) call.list += ",from=" + q->firstStepShards + ",whole=" + (q->firstComplete ? "1" : "0");
   auto calls = std::ranges::find(turnCalls_, a.server, [](const auto& entry) { return entry.first; });
@@ -211,7 +211,7 @@
   count(Count::refused);
   FinalAnswer answer;
   answer.kind = FinalAnswer::Kind::refused;
-  if (rules_->host.mayRetryAfter) answer.retryAfter = a.retryAfter;
+  if (config_->host.mayRetryAfter) answer.retryAfter = a.retryAfter;
   finish(h, std::move(answer));
 }
 
@@ -286,7 +286,7 @@
   const ClassSettings& cls = classOf(q);
   // If an answer after the aim is worth nothing, the aim is the deadline.
   const Micros until = cls.lateShare > 0 ? q.request.until : std::min(q.request.until, q.phaseState->aim);
-  const Micros margin = kPhaseMarginTicks * rules_->settings.tick + kPhaseDeliveryMargin;
+  const Micros margin = kPhaseMarginTicks * config_->settings.tick + kPhaseDeliveryMargin;
   return {now_, q.phaseState->startedAt, std::min(q.phaseState->aim, until), until, margin};
 }
 
@@ -315,15 +315,16 @@
   evaluationQueue_.push_back(h);
 }
 
-// Records the time waited so far for parts that were sent and did not answer, as a lower bound of their
-// latency.
+// For each part that was sent and has not answered, records the time since the start of the step as a lower
+// bound of its latency.
 void Ledger::recordCutOffLatencies(const Query& q) {
   for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k)
     if (!q.parts[k].done && !q.parts[k].attempts.empty())
       latencies_.add(q.request.cls, q.step - 1, now_ - q.phaseState->stepStartedAt, now_, true);
 }
 
-// Decides whether the current phase ends. No other function ends a phase.
+// Decides whether the current phase ends, and begins the second phase or answers the query if so. All phases
+// end here.
 void Ledger::evaluatePhase(Handle h) {
   Query* q = queries_.get(h);
   if (!q || q->ended) return;
@@ -375,7 +376,7 @@
   finish(h, std::move(answer));
 }
 
-// Every attempt ends here, except those removed by an injected fault.
+// All attempts end here.
 void Ledger::ended(Handle h, Outcome outcome, LeafAnswer answer) {
   Attempt* attempt = attempts_.get(h);
   if (!attempt) return;  // has already ended
@@ -408,8 +409,8 @@
   releaseIfSettled(endedAttempt.query);
 }
 
-// Every query gets its final answer here. Attempts of which no byte has been sent are withdrawn first, so
-// that nothing is sent after the answer, whether or not the decision module cancels them.
+// All queries end here. Attempts of which no byte has been sent are withdrawn first, so that nothing is sent
+// after the final answer, whether or not the decision module cancels them.
 void Ledger::finish(Handle h, FinalAnswer answer, bool report) {
   Query& q = *queries_.get(h);
   if (!q.ended) {
@@ -493,7 +494,7 @@
 
 // Counts the end of a query for its class. A query whose client has disconnected counts as failed.
 void Ledger::countQueryEnd(int cls, FinalAnswer::Kind kind) {
-  const std::vector<std::string>& names = rules_->host.classNames;
+  const std::vector<std::string>& names = config_->host.classNames;
   if (std::size_t(cls) >= names.size()) return;  // the checker's model does not name its classes
   ClassCounts& counts = counters_->ofClass(names[std::size_t(cls)]);
   ++(kind == FinalAnswer::Kind::served    ? counts.succeeded
--- a/src/core/ledger.hpp
+++ b/src/core/ledger.hpp
@@ -63,12 +63,12 @@
   // full: the limit maxOpen is reached. inUse: the id of the query or of one of its parts is already in use.
   enum class Taken { open, full, inUse };
 
-  Ledger(std::shared_ptr<const Rules> rules, Counters* counters)
-      : rules_(std::move(rules)), counters_(counters) {}
+  Ledger(std::shared_ptr<const Rules> config, Counters* counters)
+      : config_(std::move(config)), counters_(counters) {}
 
   // Replaces the settings. Open queries refer to their class by index, so the settings of a class that is
   // still in use must stay at the same index.
-  void retune(std::shared_ptr<const Rules> rules) { rules_ = std::move(rules); }
+  void retune(std::shared_ptr<const Rules> config) { config_ = std::move(config); }
   bool holds(int cls) const;  // whether a query that has not settled belongs to this class
 
   // Sets the current time, in microseconds on the loop's clock, for all calls that follow.
@@ -160,7 +160,7 @@
     Micros startedAt = 0, aim = 0, stepStartedAt = 0;
     bool exhausted = false;         // the decision module expects no further answers in this phase
     bool evaluationQueued = false;  // the query is in evaluationQueue_
-    std::size_t firstParts = 0;
+    std::size_t firstParts = 0;     // number of parts of the first phase
     phases::Account account;
     std::optional<Agenda<Timer>::Key> evaluationTimer;
   };
@@ -168,10 +168,10 @@
     NewQuery request;
     std::shared_ptr<const std::string> text;
     std::int64_t group = 0;
-    bool ended = false, firstComplete = false;
+    bool ended = false, firstComplete = false;  // firstComplete: the first step ended with a complete answer
     int step = 1;
-    std::size_t stepFirstPart = 0;
-    std::string firstStepShards;  // shards that had answered when the first step ended, as "0+2+5"
+    std::size_t stepFirstPart = 0;  // index of the first part of the current step
+    std::string firstStepShards;    // shards that had answered when the first step ended, as "0+2+5"
     std::vector<Part> parts;
     int attemptsOutstanding = 0;
     std::optional<Agenda<Timer>::Key> backstop;
@@ -201,17 +201,18 @@
   void evaluatePhase(Handle h);
   void recordCutOffLatencies(const Query& q);
   FinalAnswer servedAnswer(Query& q, std::size_t from, std::size_t to, bool whole);
-  void finish(Handle h, FinalAnswer answer, bool report = true);
+  void finish(Handle h, FinalAnswer answer,
+              bool report = true);  // report: issue the final answer as a command
   void releaseIfSettled(Handle h);
   void failAtBackstop(Handle h);
   void defect(const char* what, const std::string& id);
-  void count(Count what) { counters_->add(what); }
+  void count(Count counter) { counters_->add(counter); }
   void countQueryEnd(int cls, FinalAnswer::Kind kind);
   const ClassSettings& classOf(const Query& q) const {
-    return rules_->settings.classes[std::size_t(q.request.cls)];
+    return config_->settings.classes[std::size_t(q.request.cls)];
   }
 
-  std::shared_ptr<const Rules> rules_;
+  std::shared_ptr<const Rules> config_;
   Counters* counters_;
   Micros now_ = 0;
   std::vector<Event> events_;
@@ -231,15 +232,15 @@
 
 // Executes the commands, including those that are issued meanwhile, until none is left.
 template <typename Leaf, typename OnFinal, typename OnDefect>
-void carryOut(Ledger& ledger, Leaf& leaf, const OnFinal& onFinal, const OnDefect& onDefect) {
-  while (!ledger.quiet())
-    for (Ledger::Command& command : ledger.take()) {
+void carryOut(Ledger& tracker, Leaf& leaf, const OnFinal& onFinal, const OnDefect& onDefect) {
+  while (!tracker.quiet())
+    for (Ledger::Command& command : tracker.take()) {
       if (auto* send = std::get_if<Ledger::SendCalls>(&command))
         leaf.send(send->server, std::move(send->calls));
-      else if (const auto* up = std::get_if<Ledger::GiveUp>(&command))
-        leaf.giveUp(up->attempt);
-      else if (const auto* back = std::get_if<Ledger::Withdraw>(&command))
-        leaf.withdraw(back->attempt);
+      else if (const auto* abandoned = std::get_if<Ledger::GiveUp>(&command))
+        leaf.giveUp(abandoned->attempt);
+      else if (const auto* withdrawn = std::get_if<Ledger::Withdraw>(&command))
+        leaf.withdraw(withdrawn->attempt);
       else if (const auto* forget = std::get_if<Ledger::Forget>(&command))
         leaf.forget(forget->id);
       else if (const auto* final = std::get_if<Ledger::Final>(&command))
--- a/src/core/mixer.cpp
+++ b/src/core/mixer.cpp
@@ -18,15 +18,15 @@
     : loop_(loop),
       counters_(counters),
       leaves_(leaves),
-      rules_(std::make_shared<const Ledger::Rules>(Ledger::Rules{settings, host})),
-      ledger_(rules_, &counters),
+      config_(std::make_shared<const Ledger::Rules>(Ledger::Rules{settings, host})),
+      tracker_(config_, &counters),
       alarm_(loop,
              [this] {
                // If the process was suspended, the module's own timers may be due as well. The module goes
                // first, so that it can end queries before a backstop does.
-               ledger_.push(TimerFired{});
+               tracker_.push(TimerFired{});
                turn();
-               ledgerNow().sweep();
+               trackerNow().sweep();
                processCommands();
              }),
       module_(settings, seed) {
@@ -36,42 +36,42 @@
   // must always be converted to the same result.
   unixOffset_ = std::chrono::duration_cast<std::chrono::microseconds>(unixNow).count() - loop.now();
   leaves_.onEnded = [this](Handle attempt, Outcome outcome, LeafAnswer answer) {
-    ledgerNow().ended(attempt, outcome, std::move(answer));
+    trackerNow().ended(attempt, outcome, std::move(answer));
     processCommands();
   };
   loop_.turn = [this] { turn(); };
 }
 
-Ledger& Mixer::ledgerNow() {
-  ledger_.at(loop_.now());
-  return ledger_;
+Ledger& Mixer::trackerNow() {
+  tracker_.at(loop_.now());
+  return tracker_;
 }
 
 void Mixer::processCommands() {
   if (executing_) return;  // called from within a command: the running loop executes what it caused
   executing_ = true;
   carryOut(
-      ledger_, leaves_,
+      tracker_, leaves_,
       [this](Handle query, const FinalAnswer& answer) {
-        const auto it = answered_.find(number(query));
-        if (it == answered_.end()) return;
+        const auto it = callbacks_.find(number(query));
+        if (it == callbacks_.end()) return;
         const Answered callback = std::move(it->second);
-        answered_.erase(it);
+        callbacks_.erase(it);
         callback(answer);
       },
       [](const char* what, const std::string& id) { logLine("defect: %s: %s", what, id.c_str()); });
   executing_ = false;
-  alarm_.set(ledger_.next());
-  if (ledger_.hasEvents()) loop_.wantTurn();
+  alarm_.set(tracker_.next());
+  if (tracker_.hasEvents()) loop_.wantTurn();
 }
 
 void Mixer::retune(const Settings& settings, const HostSettings& host, int kept) {
-  const auto inUse = [&](int cls) { return cls < kept || ledger_.holds(cls); };
-  Retune next = net::retune(rules_->settings, rules_->host, settings, host, inUse, loop_.now());
-  rules_ = std::make_shared<const Ledger::Rules>(Ledger::Rules{next.settings, std::move(next.host)});
-  ledgerNow().retune(rules_);
-  for (const std::string& name : rules_->host.classNames) counters_.ofClass(name);
-  ledger_.push(Retuned{std::move(next.settings), std::move(next.from)});
+  const auto inUse = [&](int cls) { return cls < kept || tracker_.holds(cls); };
+  Retune next = net::retune(config_->settings, config_->host, settings, host, inUse, loop_.now());
+  config_ = std::make_shared<const Ledger::Rules>(Ledger::Rules{next.settings, std::move(next.host)});
+  trackerNow().retune(config_);
+  for (const std::string& name : config_->host.classNames) counters_.ofClass(name);
+  tracker_.push(Retuned{std::move(next.settings), std::move(next.from)});
   processCommands();
 }
 
@@ -90,51 +90,51 @@
     event.entries.push_back(std::move(e));
   }
   listed_ = listed_ || !list.entries.empty();
-  ledger_.push(std::move(event));
+  tracker_.push(std::move(event));
   processCommands();
 }
 
 bool Mixer::submit(NewQuery query, Answered answered, Handle& handle) {
-  switch (ledgerNow().submit(std::move(query), handle)) {
+  switch (trackerNow().submit(std::move(query), handle)) {
     case Ledger::Taken::inUse:
       return false;
     case Ledger::Taken::full: {
       FinalAnswer full;
       full.kind = FinalAnswer::Kind::refused;
-      if (host().mayRetryAfter) full.retryAfter = rules_->settings.maxRetryAfter.value_or(kFullRetryAfter);
+      if (host().mayRetryAfter) full.retryAfter = config_->settings.maxRetryAfter.value_or(kFullRetryAfter);
       answered(full);
       return true;
     }
     case Ledger::Taken::open:
       break;
   }
-  answered_[number(handle)] = std::move(answered);
+  callbacks_[number(handle)] = std::move(answered);
   processCommands();
   return true;
 }
 
 void Mixer::abandon(Handle query) {
-  answered_.erase(number(query));
-  ledgerNow().abandon(query);
+  callbacks_.erase(number(query));
+  trackerNow().abandon(query);
   processCommands();
 }
 
 // Events that are caused by the actions of this turn are delivered in the next turn.
 void Mixer::turn() {
   const Micros startedAt = loop_.now();
-  ledger_.at(startedAt);
-  const std::vector<Event> events = ledger_.takeEvents();
+  tracker_.at(startedAt);
+  const std::vector<Event> events = tracker_.takeEvents();
   if (events.empty()) return processCommands();
   counters_.add(Count::turns);
   for (const Action& action : module_.react(startedAt, events))
     std::visit([this](const auto& a) { act(a); }, action);
-  ledger_.flushCalls();
+  tracker_.flushCalls();
   processCommands();
 }
 
 void Mixer::act(const SetTimer& a) {
   loop_.deadlines.add(loop_.now() + a.delay, [this] {
-    ledger_.push(TimerFired{});
+    tracker_.push(TimerFired{});
     loop_.wantTurn();
   });
 }
--- a/src/core/mixer.hpp
+++ b/src/core/mixer.hpp
@@ -27,11 +27,11 @@
   bool submit(NewQuery query, Answered answered, Handle& handle);
   void abandon(Handle query);             // the client has disconnected
   bool ready() const { return listed_; }  // a non-empty list of leaf servers has been received
-  std::size_t open() const { return ledger_.open(); }
+  std::size_t open() const { return tracker_.open(); }
   Aggregator::Listed listed() const { return module_.listed(); }
-  const HostSettings& host() const { return rules_->host; }
+  const HostSettings& host() const { return config_->host; }
   // The classes are by index and include those that are being removed.
-  const Settings& settings() const { return rules_->settings; }
+  const Settings& settings() const { return config_->settings; }
 
   // Changes the settings; open queries continue with the settings of their class from when they arrived. The
   // indices of the first `kept` classes are never reused.
@@ -42,27 +42,27 @@
   void turn();
 
  private:
-  void act(const Send& a) { ledger_.act(a); }
-  void act(const Cancel& a) { ledger_.act(a); }
-  void act(const Answer& a) { ledger_.act(a); }
-  void act(const Refuse& a) { ledger_.act(a); }
-  void act(const Fail& a) { ledger_.act(a); }
+  void act(const Send& a) { tracker_.act(a); }
+  void act(const Cancel& a) { tracker_.act(a); }
+  void act(const Answer& a) { tracker_.act(a); }
+  void act(const Refuse& a) { tracker_.act(a); }
+  void act(const Fail& a) { tracker_.act(a); }
   void act(const SetTimer& a);
   void act(const CloseIdle& a);
   void act(const Subscribe&) {}  // discovery is always subscribed to
   void act(const Note& a);
-  Ledger& ledgerNow();     // sets the ledger's time to the present
-  void processCommands();  // executes the ledger's commands and updates its alarm
+  Ledger& trackerNow();    // sets the time of the query tracker to the present
+  void processCommands();  // executes the commands of the query tracker, updates the alarm
 
   Loop& loop_;
   Counters& counters_;
   LeafSide& leaves_;
-  std::shared_ptr<const Ledger::Rules> rules_;
-  Ledger ledger_;
+  std::shared_ptr<const Ledger::Rules> config_;
+  Ledger tracker_;
   Alarm alarm_;
   Aggregator module_;
-  std::unordered_map<std::uint64_t, Answered> answered_;  // callbacks by query handle
-  Micros unixOffset_ = 0;                                 // Unix time minus the loop's clock
+  std::unordered_map<std::uint64_t, Answered> callbacks_;  // callbacks by query handle
+  Micros unixOffset_ = 0;                                  // Unix time minus the loop's clock
   bool listed_ = false, executing_ = false;
 };
 
--- a/src/core/seam.hpp
+++ b/src/core/seam.hpp
@@ -58,11 +58,11 @@
   Handle attempt;
   std::string id;  // of the part
   int shard = 0;
-  std::string
-      list;  // fields that follow the time in the comma-separated list of the part, with a leading comma
+  // Appended to the comma-separated list that is sent with the part, after the time; begins with a comma.
+  std::string list;
   std::shared_ptr<const std::string> text;
   Micros until = 0;            // when the mixer stops waiting for the answer
-  Micros startBy = INT64_MAX;  // sending must begin before this time: later, leaf servers drop no repeats
+  Micros startBy = INT64_MAX;  // sending must begin before then: leaf servers drop no repeats afterwards
   int number = 0;              // of this attempt among those of the part, from 0
   std::shared_ptr<Exchange> exchange;
 };
@@ -75,7 +75,7 @@
   std::shared_ptr<FlowReader> reply;  // in place of `value` if the answer is streamed; may be incomplete yet
 };
 
-// Sends parts to leaf servers over one protocol.
+// Sends parts to leaf servers and reports how the attempts end.
 class LeafSide {
  public:
   // Reports the end of an attempt, at most once for each; possibly from within a call of this interface.
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -153,8 +153,8 @@
     for (int k = 0; k < config_.leaves; ++k)
       leaves_.push_back(
           std::make_unique<Leaf>(clock_, config_.leaf, config_.seed * 104729 + std::uint64_t(k)));
-    auto rules = std::make_shared<Ledger::Rules>();
-    Settings& settings = rules->settings;
+    auto trackerConfig = std::make_shared<Ledger::Rules>();
+    Settings& settings = trackerConfig->settings;
     ClassSettings cls;
     cls.aim = config_.cls.aim;
     cls.deadline = config_.cls.deadline;
@@ -170,10 +170,10 @@
     settings.mayCancel = settings.maySecondCopy = true;
     settings.maxAttempts = 3;
     settings.maxRetryAfter = 500'000;
-    rules->host.classNames = {config_.cls.name};
-    rules->host.classKeyed = {false};
-    rules->host.shards = config_.leaves;
-    rules_ = rules;
+    trackerConfig->host.classNames = {config_.cls.name};
+    trackerConfig->host.classKeyed = {false};
+    trackerConfig->host.shards = config_.leaves;
+    trackerConfig_ = trackerConfig;
     for (int k = 0; k < config_.mixers; ++k) mixers_.push_back(std::make_unique<Mixer>(*this, k));
   }
 
@@ -198,11 +198,11 @@
   }
 
  private:
-  // One mixer: the ledger and the decision module that serve, on the virtual clock instead of sockets.
+  // One mixer: the tracker and the decision module that serve, on the virtual clock instead of sockets.
   struct Mixer {
     Simulation& simulation;
     Counters counters;
-    Ledger ledger;
+    Ledger tracker;
     Aggregator module;
     bool turnScheduled = false;
     std::map<std::uint64_t, std::string> queries;  // ids of the open queries, by handle
@@ -210,23 +210,23 @@
 
     Mixer(Simulation& owner, int number)
         : simulation(owner),
-          ledger(owner.rules_, &counters),
-          module(owner.rules_->settings, owner.config_.seed * 31 + std::uint64_t(number)) {
+          tracker(owner.trackerConfig_, &counters),
+          module(owner.trackerConfig_->settings, owner.config_.seed * 31 + std::uint64_t(number)) {
       if (owner.config_.knowledge == Knowledge::claims)
-        ledger.phaseNeeds = [this](const std::string&, int phase, std::size_t, double chance) {
+        tracker.phaseNeeds = [this](const std::string&, int phase, std::size_t, double chance) {
           const phases::Plan& plan = *simulation.config_.cls.plan;
           return std::optional<Micros>(Micros(plan.phases[std::size_t(phase)].claim *
                                               double(simulation.config_.cls.aim) * (chance < 0.7 ? 0.5 : 1)));
         };
       if (owner.config_.knowledge == Knowledge::oracle)
-        ledger.phaseNeeds = [this](const std::string& query, int phase, std::size_t parts, double) {
+        tracker.phaseNeeds = [this](const std::string& query, int phase, std::size_t parts, double) {
           return std::optional<Micros>(simulation.predictPhaseTime(query, phase, parts));
         };
       ListArrived list;
       for (int k = 0; k < owner.config_.leaves; ++k)
         list.entries.push_back(
             {"s" + std::to_string(100 + k), k % owner.config_.zones, k, ServerState::serving, {}});
-      ledger.push(std::move(list));
+      tracker.push(std::move(list));
       requestTurn();
     }
     void requestTurn() {
@@ -237,42 +237,42 @@
       });
     }
     void turn() {
-      ledger.at(simulation.clock_.now);
-      const std::vector<Event> events = ledger.takeEvents();
+      tracker.at(simulation.clock_.now);
+      const std::vector<Event> events = tracker.takeEvents();
       if (!events.empty()) {
         for (const Action& action : module.react(simulation.clock_.now, events)) act(action);
-        ledger.flushCalls();
+        tracker.flushCalls();
       }
       processCommands();
     }
     void act(const Action& action) {
-      if (const auto* send = std::get_if<Send>(&action)) ledger.act(*send);
-      if (const auto* cancel = std::get_if<Cancel>(&action)) ledger.act(*cancel);
-      if (const auto* answer = std::get_if<Answer>(&action)) ledger.act(*answer);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) ledger.act(*refuse);
-      if (const auto* fail = std::get_if<Fail>(&action)) ledger.act(*fail);
+      if (const auto* send = std::get_if<Send>(&action)) tracker.act(*send);
+      if (const auto* cancel = std::get_if<Cancel>(&action)) tracker.act(*cancel);
+      if (const auto* answer = std::get_if<Answer>(&action)) tracker.act(*answer);
+      if (const auto* refuse = std::get_if<Refuse>(&action)) tracker.act(*refuse);
+      if (const auto* fail = std::get_if<Fail>(&action)) tracker.act(*fail);
       if (const auto* timer = std::get_if<SetTimer>(&action))
         simulation.clock_.schedule(simulation.clock_.now + timer->delay, [this] {
-          ledger.push(TimerFired{});
+          tracker.push(TimerFired{});
           requestTurn();
         });
     }
     void processCommands() {
       carryOut(
-          ledger, *this,
+          tracker, *this,
           [this](Handle query, const FinalAnswer& answer) { simulation.answered(*this, query, answer); },
           [](const char*, const std::string&) {});
-      if (const auto next = ledger.next();
+      if (const auto next = tracker.next();
           next && (timerAt < 0 || *next < timerAt || timerAt <= simulation.clock_.now)) {
         timerAt = *next;
         simulation.clock_.schedule(*next, [this, dueAt = *next] {
           if (timerAt == dueAt) timerAt = -1;
-          ledger.at(simulation.clock_.now);
-          ledger.sweep();
+          tracker.at(simulation.clock_.now);
+          tracker.sweep();
           processCommands();
         });
       }
-      if (ledger.hasEvents()) requestTurn();
+      if (tracker.hasEvents()) requestTurn();
     }
     // The leaf side for carryOut.
     void send(const std::string& server, const std::vector<Call>& calls) {
@@ -311,9 +311,9 @@
     records_[id] = record;
     if (record.measured) ++report_.queries;
     Mixer& m = *mixers_[queryCount_ % mixers_.size()];
-    m.ledger.at(clock_.now);
+    m.tracker.at(clock_.now);
     Handle h;
-    m.ledger.submit(std::move(query), h);
+    m.tracker.submit(std::move(query), h);
     m.queries[number(h)] = id;
     m.processCommands();
   }
@@ -361,8 +361,8 @@
           answer.id = call.id;
           answer.outcome = Outcome::done;
           answer.score = scoreOf(query, call.shard);
-          m.ledger.at(clock_.now);
-          m.ledger.ended(call.attempt, Outcome::done, std::move(answer));
+          m.tracker.at(clock_.now);
+          m.tracker.ended(call.attempt, Outcome::done, std::move(answer));
           m.processCommands();
         });
       };
@@ -437,7 +437,7 @@
   Random random_;
   Clock clock_;
   std::vector<std::unique_ptr<Leaf>> leaves_;
-  std::shared_ptr<const Ledger::Rules> rules_;
+  std::shared_ptr<const Ledger::Rules> trackerConfig_;
   std::vector<std::unique_ptr<Mixer>> mixers_;
   std::map<std::string, QueryRecord> records_;
   Report report_;
--- a/src/tool/check.cpp
+++ b/src/tool/check.cpp
@@ -167,7 +167,7 @@
   addBound("--queries", &Scope::queries, 1, 9, "queries");
   addBound("--parts", &Scope::parts, 1, 9, "parts per query");
   addBound("--servers", &Scope::servers, 1, 9, "leaf servers");
-  addBound("--links", &Scope::linksPerServer, 1, 9, "connections per server");
+  addBound("--links", &Scope::connectionsPerServer, 1, 9, "connections per server");
   addBound("--attempts", &Scope::attempts, 1, 9, "attempts per part");
   addBound("--sends", &Scope::sends, 1, 99, "parts that the decision module sends in one history");
   addBound("--faults", &Scope::faults, 0, 99, "faults of any kind in one history");
--- a/src/tool/lab.cpp
+++ b/src/tool/lab.cpp
@@ -158,13 +158,13 @@
   Gnuplot gp;
   gp << "set terminal svg size 760,460 font 'sans,13' background rgb 'white'\nset output '" << path << "'\n"
      << "set xlabel '" << xName << "'\nset ylabel '" << yName << "'\nset grid\nset key left bottom\nplot ";
-  for (std::size_t w = 0; w < variants().size(); ++w)
-    gp << (w ? ", " : "") << "'-' with linespoints lw 2 title '" << variants()[w].name << "'";
+  for (std::size_t variant = 0; variant < variants().size(); ++variant)
+    gp << (variant ? ", " : "") << "'-' with linespoints lw 2 title '" << variants()[variant].name << "'";
   gp << "\n";
-  for (std::size_t w = 0; w < variants().size(); ++w) {
+  for (std::size_t variant = 0; variant < variants().size(); ++variant) {
     std::vector<std::pair<double, double>> line;
     for (const Point& p : points)
-      if (p.variant == w && select(p)) line.emplace_back(x(p), y(p));
+      if (p.variant == variant && select(p)) line.emplace_back(x(p), y(p));
     gp.send1d(line);
   }
 }
@@ -190,11 +190,11 @@
 int phasesLab(const Options& options) {
   std::vector<Point> points;
   const auto add = [&](double load, double delay) {
-    for (std::size_t w = 0; w < variants().size(); ++w) {
+    for (std::size_t variant = 0; variant < variants().size(); ++variant) {
       Point p;
       p.load = load;
       p.delayMs = delay;
-      p.variant = w;
+      p.variant = variant;
       points.push_back(std::move(p));
     }
   };
@@ -217,7 +217,8 @@
     };
     std::printf("%5.2f %8.0f  %22s %22s\n", points[k].load, points[k].delayMs, gapClosed(0).c_str(),
                 gapClosed(2).c_str());
-    for (std::size_t w = 0; w < variants().size(); ++w) wrongAnswers += points[k + w].wrongAnswers;
+    for (std::size_t variant = 0; variant < variants().size(); ++variant)
+      wrongAnswers += points[k + variant].wrongAnswers;
   }
   std::printf("answers below a minimum share or wrongly marked complete: %lu\n", (unsigned long)wrongAnswers);
   writeCsv(points, options.csv);
