--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -11,42 +11,42 @@
 namespace cometdeal::net {
 
 enum class Count {
-  clientConnections,
-  clientConnectionsShed,
-  requests,
-  badRequests,
-  queriesTaken,
-  queriesFull,
-  answeredWhole,
-  answeredPartly,
-  refused,
-  failed,
-  clientsGone,
-  backstops,
-  defects,
-  sends,
-  forwards,
-  cancels,
-  withdrawn,
-  lateAnswers,
-  badFrames,
-  leafConnections,
-  leafConnectsFailed,
-  leafConnectionsLost,
-  leafConnectionsSilent,
-  lists,
+  clientConnections,      // accepted
+  clientConnectionsShed,  // closed or refused to stay within the limit on client connections
+  requests,               // from clients, including bad ones
+  badRequests,            // malformed or not allowed
+  queriesTaken,           // submitted, including those in queriesFull
+  queriesFull,            // rejected because maxOpen was reached
+  answeredWhole,          // served with a complete answer
+  answeredPartly,         // served with a partial answer
+  refused,                // queries refused by the decision module
+  failed,                 // queries failed by the decision module or by their plan
+  clientsGone,            // queries whose client disconnected
+  backstops,              // queries that the decision module left open until their deadline
+  defects,                // internal inconsistencies
+  sends,                  // attempts begun
+  forwards,               // parts written completely to a leaf server
+  cancels,                // attempts cancelled by the decision module
+  withdrawn,              // attempts withdrawn before any byte of them was sent
+  lateAnswers,            // answers to attempts that had already ended, and repeated answers
+  badFrames,              // malformed or incomplete frames from leaf servers
+  leafConnections,        // opened
+  leafConnectsFailed,     // ended before they were established
+  leafConnectionsLost,    // ended unexpectedly after they were established
+  leafConnectionsSilent,  // closed for being silent while a newer connection answers
+  lists,                  // valid lists from discovery
   listsMalformed,
   discoveryFailures,
   acceptFailures,
   reloads,
   reloadsFailed,
-  turns,
-  firstsEarly,
-  secondsWhole,
-  secondsCut,
-  secondsSkipped,
-  secondsFailed,
-  number,
+  turns,           // calls of the decision module
+  firstsEarly,     // first phases ended before all parts had answered, to leave time for the second
+  secondsWhole,    // second phases begun with all the parts that the rule picks
+  secondsCut,      // second phases begun with fewer parts, for lack of time
+  secondsSkipped,  // second phases not begun
+  secondsFailed,   // second phases that failed
+  number,          // number of counters
 };
 
 // Ended requests of one class: served, refused and failed.
--- a/src/core/settings.hpp
+++ b/src/core/settings.hpp
@@ -38,7 +38,7 @@
   bool mayRetryAfter = false;  // refusals may contain a time to retry after
   QueryPlans plans;
   std::vector<double> classNeed, classFloor;  // see ClassSettings; plans may not require less
-  // By class, on the loop's clock; set when the settings change while serving (see retune). Empty: all
+  // By class, on the loop's clock; set when the settings change while serving (see Retune). Empty: all
   // classes are current, and keyed classes require a key.
   std::vector<Micros> classUntil;  // until when the class is found by its name; INT64_MAX: it is current
   std::vector<Micros> keyFrom;     // from when on a keyed class requires a key
