--- a/src/check/world.hpp
+++ b/src/check/world.hpp
@@ -127,8 +127,8 @@
   void checkInvariants();
   void reportViolation(const char* property, std::string what);
   std::optional<net::Ledger::Sight::Part> partOf(Step step) const;
-  std::size_t queryIndex(Handle handle) const;
-  void sortSockets();  // into an order that is the same in equivalent states
+  std::size_t queryIndex(Handle handle) const;  // the number of queries if there is none
+  void sortSockets();                           // into an order that is the same in equivalent states
   Socket* socketFor(Handle connection);
   static std::string partName(int query, int part);
   std::int64_t unixMs() const;
--- a/src/core/mixer.cpp
+++ b/src/core/mixer.cpp
@@ -89,7 +89,7 @@
     if (entry.sinceMs != 0) e.started = Micros(entry.sinceMs) * 1000 - unixOffset_;
     event.entries.push_back(std::move(e));
   }
-  listed_ = listed_ || !list.entries.empty();
+  hasLeafList_ = hasLeafList_ || !list.entries.empty();
   tracker_.push(std::move(event));
   processCommands();
 }
--- a/src/core/mixer.hpp
+++ b/src/core/mixer.hpp
@@ -25,8 +25,8 @@
   // The interface for fronts. `answered` is called once, possibly before submit returns, unless the query is
   // abandoned first. Returns false, without a call, if the id of the query or of one of its parts is in use.
   bool submit(NewQuery query, Answered answered, Handle& handle);
-  void abandon(Handle query);             // the client has disconnected
-  bool ready() const { return listed_; }  // a non-empty list of leaf servers has been received
+  void abandon(Handle query);                  // the client has disconnected
+  bool ready() const { return hasLeafList_; }  // a non-empty list of leaf servers has been received
   std::size_t open() const { return tracker_.open(); }
   Aggregator::Listed listed() const { return module_.listed(); }
   const HostSettings& host() const { return config_->host; }
@@ -61,9 +61,9 @@
   Ledger tracker_;
   Alarm alarm_;
   Aggregator module_;
-  std::unordered_map<std::uint64_t, Answered> callbacks_;  // callbacks by query handle
+  std::unordered_map<std::uint64_t, Answered> callbacks_;  // by query handle
   Micros unixOffset_ = 0;                                  // Unix time minus the loop's clock
-  bool listed_ = false, executing_ = false;
+  bool hasLeafList_ = false, executing_ = false;
 };
 
 }  // namespace cometdeal::net
