--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -1,4 +1,4 @@
-// Counts of what is taken in, sent and answered.
+// Counters of connections, queries, attempts and answers, for metrics and for the report at exit.
 #pragma once
 
 #include <array>
@@ -11,59 +11,59 @@
 namespace cometdeal::net {
 
 enum class Count {
-  clientConnections,
-  clientConnectionsShed,
-  requests,
-  badRequests,
-  queriesTaken,
-  queriesFull,
-  answeredWhole,
-  answeredPartly,
-  refused,
-  failed,
-  clientsGone,
-  backstops,
-  defects,
-  sends,
-  forwards,
-  cancels,
-  withdrawn,
-  lateAnswers,
-  badFrames,
-  leafConnections,
-  leafConnectsFailed,
-  leafConnectionsLost,
-  leafConnectionsSilent,
-  lists,
+  clientConnections,      // accepted
+  clientConnectionsShed,  // closed or refused to stay within the limit on client connections
+  requests,               // from clients, including bad ones
+  badRequests,            // malformed or not allowed
+  queriesTaken,           // submitted, including those in queriesFull
+  queriesFull,            // rejected because maxOpen was reached
+  answeredWhole,          // served with a complete answer
+  answeredPartly,         // served with a partial answer
+  refused,                // queries refused by the decision module
+  failed,                 // queries failed by the decision module or by their plan
+  clientsGone,            // queries whose client disconnected
+  backstops,              // queries that the decision module left open until their deadline
+  defects,                // internal inconsistencies
+  sends,                  // attempts begun
+  forwards,               // parts written completely to a leaf server
+  cancels,                // attempts cancelled by the decision module
+  withdrawn,              // attempts withdrawn before any byte of them was sent
+  lateAnswers,            // answers to attempts that had already ended, and repeated answers
+  badFrames,              // malformed or incomplete frames from leaf servers
+  leafConnections,        // opened
+  leafConnectsFailed,     // ended before they were established
+  leafConnectionsLost,    // ended unexpectedly after they were established
+  leafConnectionsSilent,  // closed for being silent while a newer connection answers
+  lists,                  // valid lists from discovery
   listsMalformed,
   discoveryFailures,
   acceptFailures,
   reloads,
   reloadsFailed,
-  turns,
-  firstsEarly,
-  secondsWhole,
-  secondsCut,
-  secondsSkipped,
-  secondsFailed,
-  number,
+  turns,           // calls of the decision module
+  firstsEarly,     // first phases ended before all parts had answered, to leave time for the second
+  secondsWhole,    // second phases begun with all the parts that the rule picks
+  secondsCut,      // second phases begun with fewer parts, for lack of time
+  secondsSkipped,  // second phases not begun
+  secondsFailed,   // second phases that failed
+  number,          // number of counters
 };
 
-// Requests of one class by their end: served, refused, failed.
+// Ended requests of one class: served, refused and failed.
 struct ClassCounts {
   std::uint64_t succeeded = 0, declined = 0, aborted = 0;
 };
 
 class Counters {
  public:
-  void add(Count what) { ++counts_[static_cast<std::size_t>(what)]; }
+  void add(Count counter) { ++counts_[static_cast<std::size_t>(counter)]; }
   void add(Outcome outcome) { ++outcomes_[static_cast<std::size_t>(outcome)]; }
-  std::uint64_t of(Count what) const { return counts_[static_cast<std::size_t>(what)]; }
+  std::uint64_t of(Count counter) const { return counts_[static_cast<std::size_t>(counter)]; }
   std::uint64_t of(Outcome outcome) const { return outcomes_[static_cast<std::size_t>(outcome)]; }
-  // A class is known from its first mention on, and stays so when the settings no longer name it.
+  // Creates the counts of a class on first use. They remain when the settings no longer contain the class.
   ClassCounts& ofClass(const std::string& name) { return classes_[name]; }
   const std::map<std::string, ClassCounts>& classes() const { return classes_; }
-  // One line `counter NAME VALUE` each.
+  // Prints one line `counter NAME VALUE` for each counter.
   void print(std::FILE* to) const;
 
  private:
--- a/src/core/mixer.hpp
+++ b/src/core/mixer.hpp
@@ -1,6 +1,6 @@
-// Between the decision module and the sockets: gathers events, calls the module once a turn, does its
-// actions. A protocol front hands in queries and gets one final answer for each; nothing here knows what
-// protocol that is. The rules are the ledger's.
+// Connects the decision module to the fronts and the leaf sides: collects events, calls the module once a
+// turn and performs its actions. A front submits queries and gets one final answer for each; nothing here
+// depends on the front's protocol. The state of queries and attempts is kept by `Ledger`.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -22,44 +22,48 @@
   Mixer(Loop& loop, Counters& counters, LeafSide& leaves, const Settings& settings, const HostSettings& host,
         std::uint64_t seed);
 
-  // The seam for protocol fronts. `answered` is called once, maybe before submit returns, unless the query is
-  // abandoned first. An id that is still open is not taken again: false.
+  // The interface for fronts. `answered` is called once, possibly before submit returns, unless the query is
+  // abandoned first. Returns false, without a call, if the id of the query or of one of its parts is in use.
   bool submit(NewQuery query, Answered answered, Handle& handle);
-  void abandon(Handle query);  // the client has gone
-  bool ready() const { return listed_; }
-  std::size_t open() const { return ledger_.open(); }
+  void abandon(Handle query);                  // the client has disconnected
+  bool ready() const { return hasLeafList_; }  // a non-empty list of leaf servers has been received
+  std::size_t open() const { return tracker_.open(); }
   Aggregator::Listed listed() const { return module_.listed(); }
-  const HostSettings& host() const { return rules_->host; }
-  const Settings& settings() const { return rules_->settings; }  // classes by place, also those that go
+  const HostSettings& host() const { return config_->host; }
+  // The classes are by index and include those that are being removed.
+  const Settings& settings() const { return config_->settings; }
 
-  // Takes other settings; `kept` classes keep their place for good. What is under way goes on as it began.
+  // Changes the settings; open queries continue with the settings of their class from when they arrived. The
+  // indices of the first `kept` classes are never reused.
   void retune(const Settings& settings, const HostSettings& host, int kept = 0);
+  // Passes a list of leaf servers on to the leaf side and the decision module.
   void list(const LeafList& list, ListKind kind);
+  // Calls the decision module with the pending events and performs its actions.
   void turn();
 
  private:
-  void act(const Send& a) { ledger_.act(a); }
-  void act(const Cancel& a) { ledger_.act(a); }
-  void act(const Answer& a) { ledger_.act(a); }
-  void act(const Refuse& a) { ledger_.act(a); }
-  void act(const Fail& a) { ledger_.act(a); }
+  void act(const Send& a) { tracker_.act(a); }
+  void act(const Cancel& a) { tracker_.act(a); }
+  void act(const Answer& a) { tracker_.act(a); }
+  void act(const Refuse& a) { tracker_.act(a); }
+  void act(const Fail& a) { tracker_.act(a); }
   void act(const SetTimer& a);
   void act(const CloseIdle& a);
-  void act(const Subscribe&) {}  // the watch is always on
+  void act(const Subscribe&) {}  // discovery is always subscribed to
   void act(const Note& a);
-  Ledger& now();  // the ledger, at the present time
-  void settle();  // carries out what the ledger asks for
+  Ledger& trackerNow();    // sets the time of the query tracker to the present
+  void processCommands();  // executes the commands of the query tracker, updates the alarm
 
   Loop& loop_;
   Counters& counters_;
   LeafSide& leaves_;
-  std::shared_ptr<const Ledger::Rules> rules_;
-  Ledger ledger_;
+  std::shared_ptr<const Ledger::Rules> config_;
+  Ledger tracker_;
   Alarm alarm_;
   Aggregator module_;
-  std::unordered_map<std::uint64_t, Answered> answered_;  // by query
-  Micros unixOffset_ = 0;                                 // Unix time less the loop's clock
-  bool listed_ = false, settling_ = false;
+  std::unordered_map<std::uint64_t, Answered> callbacks_;  // by query handle
+  Micros unixOffset_ = 0;                                  // Unix time minus the loop's clock
+  bool hasLeafList_ = false, executing_ = false;
 };
 
 }  // namespace cometdeal::net
