--- a/src/front/grpc/calls.cpp
+++ b/src/front/grpc/calls.cpp
@@ -25,7 +25,7 @@
   http2::Limits out;
   out.streams = config.streamsPerConnection;
   out.streamWindow = config.streamWindow;
-  out.fieldsMost = config.metadataMost;
+  out.maxFieldsBytes = config.metadataMost;
   return out;
 }
 // What belongs to this connection, or is put in anew for the next.
@@ -356,7 +356,7 @@
 
 void GrpcCalls::drain(Micros endBy) {
   endBy_ = endBy;
-  if (!std::exchange(draining_, true)) session_.goawaySoon();
+  if (!std::exchange(draining_, true)) session_.sendShutdownNotice();
 }
 
 void GrpcCalls::lastGoaway() {
--- a/src/front/grpc/calls.hpp
+++ b/src/front/grpc/calls.hpp
@@ -55,8 +55,8 @@
   void lastGoaway();
   std::size_t calls() const { return calls_.size(); }
   bool begun() const { return begun_; }  // the client has spoken HTTP/2
-  bool over() const { return session_.done() || (last_ && calls_.empty() && !session_.wantsWrite()); }
-  const std::string& why() const { return session_.why(); }
+  bool over() const { return session_.finished() || (last_ && calls_.empty() && !session_.wantsWrite()); }
+  const std::string& why() const { return session_.closeReason(); }
   std::size_t held() const;  // bytes of bodies
 
  private:
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -7,16 +7,18 @@
 namespace cometdeal::http2 {
 namespace {
 
-// Put into words at a time: more would only wait for the socket.
-constexpr std::size_t kChunk = 64UL * 1024;
-// Fields that are counted but not kept: beyond so many times their bound the connection is closed.
-constexpr std::size_t kFieldsBomb = 8;
-constexpr std::size_t kFieldCost = 32;  // of each field, as RFC 9113 counts it (6.5.2)
-// A stream that ended as it should makes up for so much of a nuisance: who works may cancel now and then.
-constexpr double kGoodStream = 0.5;
+// Output produced at a time; more would only wait for the socket.
+constexpr std::size_t kOutputChunkBytes = 64UL * 1024;
+// Fields beyond Limits::maxFieldsBytes are counted but dropped. Beyond this multiple of the limit the
+// connection is closed.
+constexpr std::size_t kFieldsAbortFactor = 8;
+constexpr std::size_t kFieldOverheadBytes = 32;  // added for each field, as in RFC 9113, section 6.5.2
+// Credit, in overhead frames, for each stream that ends without an error: a peer that completes streams may
+// also cancel some.
+constexpr double kCompletedStreamCredit = 0.5;
 
 nghttp2_nv pair(const std::pair<std::string, std::string>& field) {
-  // Copied by the library: the flags are none.
+  // Without flags the library copies name and value.
   return {reinterpret_cast<std::uint8_t*>(const_cast<char*>(field.first.data())),
           reinterpret_cast<std::uint8_t*>(const_cast<char*>(field.second.data())), field.first.size(),
           field.second.size(), NGHTTP2_NV_FLAG_NONE};
@@ -46,8 +48,8 @@
   static int beginFrame(nghttp2_session*, const nghttp2_frame_hd* head, void* self) {
     const bool empty =
         head->type == NGHTTP2_DATA && head->length == 0 && !(head->flags & NGHTTP2_FLAG_END_STREAM);
-    if (empty || head->type == NGHTTP2_PRIORITY) of(self).nuisance();
-    return of(self).dead_ ? NGHTTP2_ERR_CALLBACK_FAILURE : 0;
+    if (empty || head->type == NGHTTP2_PRIORITY) of(self).countOverheadFrame();
+    return of(self).failed_ ? NGHTTP2_ERR_CALLBACK_FAILURE : 0;
   }
   static int beginHeaders(nghttp2_session*, const nghttp2_frame* frame, void* self) {
     Stream& s = of(self).streams_[frame->hd.stream_id];
@@ -62,11 +64,11 @@
     const auto at = session.streams_.find(frame->hd.stream_id);
     if (at == session.streams_.end()) return 0;
     Stream& s = at->second;
-    s.fieldsBytes += nameSize + valueSize + kFieldCost;
-    if (s.fieldsBytes > session.limits_.fieldsMost) {
-      s.tooMuch = true;
-      if (s.fieldsBytes <= kFieldsBomb * session.limits_.fieldsMost) return 0;
-      session.stopFor(Code::enhanceYourCalm, "fields beyond all bounds");
+    s.fieldsBytes += nameSize + valueSize + kFieldOverheadBytes;
+    if (s.fieldsBytes > session.limits_.maxFieldsBytes) {
+      s.fieldsTooLarge = true;
+      if (s.fieldsBytes <= kFieldsAbortFactor * session.limits_.maxFieldsBytes) return 0;
+      session.terminate(Code::enhanceYourCalm, "header fields over limit");
       return NGHTTP2_ERR_CALLBACK_FAILURE;
     }
     s.fields.emplace_back(text(name, nameSize), text(value, valueSize));
@@ -83,8 +85,8 @@
         Stream& s = at->second;
         const std::string* status = find(s.fields, ":status");
         if (status && status->starts_with('1') && !end) break;
-        if (s.tooMuch) s.fields.emplace_back(":too-much", "");
-        if (std::exchange(s.headed, true))
+        if (s.fieldsTooLarge) s.fields.emplace_back(":too-much", "");
+        if (std::exchange(s.headersReceived, true))
           session.events_.push_back(Trailers{id, std::move(s.fields)});
         else
           session.events_.push_back(Headers{id, std::move(s.fields), end});
@@ -95,18 +97,18 @@
         if (end) session.events_.push_back(End{id});
         break;
       case NGHTTP2_RST_STREAM:
-        session.nuisance();
+        session.countOverheadFrame();
         break;
       case NGHTTP2_SETTINGS:
         if (frame->hd.flags & NGHTTP2_FLAG_ACK) break;
-        session.nuisance();
-        session.events_.push_back(Peer{});
+        session.countOverheadFrame();
+        session.events_.push_back(PeerSettings{});
         break;
       case NGHTTP2_PING:
         if (frame->hd.flags & NGHTTP2_FLAG_ACK)
           session.events_.push_back(Pong{});
         else
-          session.nuisance();
+          session.countOverheadFrame();
         break;
       case NGHTTP2_GOAWAY:
         session.events_.push_back(Goaway{frame->goaway.last_stream_id, Code(frame->goaway.error_code)});
@@ -114,12 +116,12 @@
       default:
         break;
     }
-    return session.dead_ ? NGHTTP2_ERR_CALLBACK_FAILURE : 0;
+    return session.failed_ ? NGHTTP2_ERR_CALLBACK_FAILURE : 0;
   }
   static int data(nghttp2_session* native, std::uint8_t, std::int32_t id, const std::uint8_t* bytes,
                   std::size_t n, void* self) {
-    // The connection's window is freed at once: a stream whose owner takes nothing must not hold up the
-    // others.
+    // The connection's window is reopened at once, so that a stream whose owner consumes nothing does not
+    // block the others.
     nghttp2_session_consume_connection(native, n);
     if (of(self).streams_.contains(id)) of(self).events_.push_back(Data{id, std::string(text(bytes, n))});
     return 0;
@@ -128,7 +130,8 @@
     Session& session = of(self);
     const auto at = session.streams_.find(id);
     if (at == session.streams_.end()) return 0;
-    if (code == NGHTTP2_NO_ERROR) session.calm_ = std::max(0.0, session.calm_ - kGoodStream);
+    if (code == NGHTTP2_NO_ERROR)
+      session.overheadLevel_ = std::max(0.0, session.overheadLevel_ - kCompletedStreamCredit);
     session.events_.push_back(Closed{id, Code(code), at->second.localReset});
     session.streams_.erase(at);
     return 0;
@@ -136,7 +139,7 @@
   static int sent(nghttp2_session* native, const nghttp2_frame* frame, void* self) {
     Session& session = of(self);
     const std::int32_t id = frame->hd.stream_id;
-    if (frame->hd.type == NGHTTP2_HEADERS) session.heads_.push_back(id);
+    if (frame->hd.type == NGHTTP2_HEADERS) session.headersInChunk_.push_back(id);
     const auto at = session.streams_.find(id);
     if (at != session.streams_.end() && at->second.closeWhenSaid &&
         (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) &&
@@ -147,33 +150,34 @@
     }
     return 0;
   }
-  // The library gives up on a frame: as a rule a stream that was never begun, after a GOAWAY.
+  // The library drops a frame unsent. For HEADERS this is usually a stream that could not be opened any more
+  // because of a GOAWAY.
   static int notSent(nghttp2_session*, const nghttp2_frame* frame, int, void* self) {
     Session& session = of(self);
     const auto at = session.streams_.find(frame->hd.stream_id);
-    if (frame->hd.type != NGHTTP2_HEADERS || at == session.streams_.end() || at->second.headEnd) return 0;
+    if (frame->hd.type != NGHTTP2_HEADERS || at == session.streams_.end() || at->second.headersEnd) return 0;
     session.events_.push_back(Closed{frame->hd.stream_id, Code::refusedStream, false});
     session.streams_.erase(at);
     return 0;
   }
   static int invalid(nghttp2_session*, const nghttp2_frame*, int error, void* self) {
     Session& session = of(self);
-    if (session.why_.empty()) session.why_ = nghttp2_strerror(error);
-    session.nuisance();
+    if (session.closeReason_.empty()) session.closeReason_ = nghttp2_strerror(error);
+    session.countOverheadFrame();
     return 0;
   }
-  static ssize_t read(nghttp2_session* native, std::int32_t id, std::uint8_t* to, std::size_t most,
+  static ssize_t read(nghttp2_session* native, std::int32_t id, std::uint8_t* to, std::size_t maxBytes,
                       std::uint32_t* flags, nghttp2_data_source*, void* self) {
     Session& session = of(self);
     const auto found = session.streams_.find(id);
     if (found == session.streams_.end()) return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
     Stream& s = found->second;
-    const std::size_t n = std::min(most, s.out.size() - s.at);
-    std::copy_n(s.out.data() + s.at, n, to);
-    s.at += n;
-    if (s.at == s.out.size()) {
-      s.out.clear();
-      s.at = 0;
+    const std::size_t n = std::min(maxBytes, s.outgoing.size() - s.outgoingAt);
+    std::copy_n(s.outgoing.data() + s.outgoingAt, n, to);
+    s.outgoingAt += n;
+    if (s.outgoingAt == s.outgoing.size()) {
+      s.outgoing.clear();
+      s.outgoingAt = 0;
       if (s.finished) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
         if (s.trailers) {
@@ -186,9 +190,9 @@
       } else {
         return NGHTTP2_ERR_DEFERRED;
       }
-    } else if (s.at * 2 > s.out.size()) {
-      s.out.erase(0, s.at);
-      s.at = 0;
+    } else if (s.outgoingAt * 2 > s.outgoing.size()) {
+      s.outgoing.erase(0, s.outgoingAt);
+      s.outgoingAt = 0;
     }
     return ssize_t(n);
   }
@@ -220,7 +224,7 @@
   std::vector<nghttp2_settings_entry> settings{
       {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, std::uint32_t(limits_.streams)},
       {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, std::uint32_t(limits_.streamWindow)},
-      {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, std::uint32_t(limits_.fieldsMost)}};
+      {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, std::uint32_t(limits_.maxFieldsBytes)}};
   if (role_ == Role::client) settings.push_back({NGHTTP2_SETTINGS_ENABLE_PUSH, 0});
   nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
   nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, limits_.connectionWindow);
@@ -228,33 +232,35 @@
 
 Session::~Session() { nghttp2_session_del(session_); }
 
-// A leaky bucket of what costs the other side little and this one some work: resets, pings, settings, empty
-// frames. Holds against rapid reset and its kin.
-bool Session::nuisance() {
-  calm_ = std::max(0.0, calm_ - limits_.nuisancesPerSecond * double(now_ - calmAt_) / 1e6);
-  calmAt_ = now_;
-  calm_ += 1.0;
-  if (calm_ <= limits_.nuisances) return true;
-  stopFor(Code::enhanceYourCalm, "a flood of resets, pings, settings or empty frames");
+// Counts a frame that costs the sender little and the receiver some work, in a leaky bucket: RST_STREAM,
+// PING, SETTINGS, PRIORITY, empty DATA and invalid frames. This limits attacks such as HTTP/2 rapid reset.
+// Returns false if the bucket overflows and the connection is terminated.
+bool Session::countOverheadFrame() {
+  overheadLevel_ =
+      std::max(0.0, overheadLevel_ - limits_.overheadFramesPerSecond * double(now_ - overheadLevelAt_) / 1e6);
+  overheadLevelAt_ = now_;
+  overheadLevel_ += 1.0;
+  if (overheadLevel_ <= limits_.overheadFrameBurst) return true;
+  terminate(Code::enhanceYourCalm, "a flood of resets, pings, settings or empty frames");
   return false;
 }
 
-void Session::stopFor(Code code, const char* why) {
-  if (dead_) return;
-  dead_ = true;
-  why_ = why;
+void Session::terminate(Code code, const char* reason) {
+  if (failed_) return;
+  failed_ = true;
+  closeReason_ = reason;
   nghttp2_session_terminate_session(session_, std::uint32_t(code));
 }
 
 bool Session::received(std::string_view bytes, std::int64_t now) {
   now_ = now;
-  if (dead_) return false;
+  if (failed_) return false;
   const ssize_t n =
       nghttp2_session_mem_recv(session_, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
-  if (dead_) return false;
+  if (failed_) return false;
   if (n < 0) {
-    dead_ = true;
-    if (why_.empty()) why_ = nghttp2_strerror(int(n));
+    failed_ = true;
+    if (closeReason_.empty()) closeReason_ = nghttp2_strerror(int(n));
     nghttp2_session_terminate_session(session_, NGHTTP2_PROTOCOL_ERROR);
     return false;
   }
@@ -262,64 +268,67 @@
 }
 
 std::string_view Session::front() {
-  if (outAt_ < out_.size()) return std::string_view(out_).substr(outAt_);
-  out_.clear();
-  outAt_ = 0;
-  while (out_.size() < kChunk) {
+  if (outputAt_ < output_.size()) return std::string_view(output_).substr(outputAt_);
+  output_.clear();
+  outputAt_ = 0;
+  while (output_.size() < kOutputChunkBytes) {
     const std::uint8_t* bytes = nullptr;
     const ssize_t n = nghttp2_session_mem_send(session_, &bytes);
     if (n <= 0) break;
-    out_.append(text(bytes, std::size_t(n)));
-    made_ += std::uint64_t(n);
-    for (const std::int32_t id : heads_)
-      if (const auto at = streams_.find(id); at != streams_.end() && !at->second.headEnd)
-        at->second.headEnd = made_;
-    heads_.clear();
+    output_.append(text(bytes, std::size_t(n)));
+    bytesProduced_ += std::uint64_t(n);
+    for (const std::int32_t id : headersInChunk_)
+      if (const auto at = streams_.find(id); at != streams_.end() && !at->second.headersEnd)
+        at->second.headersEnd = bytesProduced_;
+    headersInChunk_.clear();
   }
-  return out_;
+  return output_;
 }
 
 void Session::wrote(std::size_t bytes) {
-  outAt_ += bytes;
-  taken_ += bytes;
+  outputAt_ += bytes;
+  bytesWritten_ += bytes;
 }
 
-bool Session::wantsWrite() const { return outAt_ < out_.size() || nghttp2_session_want_write(session_); }
+bool Session::wantsWrite() const {
+  return outputAt_ < output_.size() || nghttp2_session_want_write(session_);
+}
 
-bool Session::done() const { return !wantsWrite() && !nghttp2_session_want_read(session_); }
+bool Session::finished() const { return !wantsWrite() && !nghttp2_session_want_read(session_); }
 
 std::optional<std::int32_t> Session::open(const Fields& fields, bool end) {
-  if (dead_ || !nghttp2_session_check_request_allowed(session_)) return std::nullopt;
+  if (failed_ || !nghttp2_session_check_request_allowed(session_)) return std::nullopt;
   nghttp2_data_provider body{};
   body.read_callback = Callbacks::read;
   const std::vector<nghttp2_nv> list = pairs(fields);
   const std::int32_t id =
       nghttp2_submit_request(session_, nullptr, list.data(), list.size(), end ? nullptr : &body, nullptr);
   if (id < 0) return std::nullopt;
-  streams_[id].inBody = !end;
+  streams_[id].bodyOpen = !end;
   return id;
 }
 
 void Session::respond(std::int32_t stream, const Fields& fields, bool end) {
   const auto at = streams_.find(stream);
-  if (dead_ || at == streams_.end() || std::exchange(at->second.told, true)) return;
+  if (failed_ || at == streams_.end() || std::exchange(at->second.responded, true)) return;
   nghttp2_data_provider body{};
   body.read_callback = Callbacks::read;
-  at->second.inBody = !end;
+  at->second.bodyOpen = !end;
   const std::vector<nghttp2_nv> list = pairs(fields);
   nghttp2_submit_response(session_, stream, list.data(), list.size(), end ? nullptr : &body);
 }
 
 void Session::write(std::int32_t stream, std::string_view bytes) {
   const auto at = streams_.find(stream);
-  if (dead_ || at == streams_.end() || at->second.finished || bytes.empty()) return;
-  at->second.out.append(bytes);
+  if (failed_ || at == streams_.end() || at->second.finished || bytes.empty()) return;
+  at->second.outgoing.append(bytes);
   nghttp2_session_resume_data(session_, stream);
 }
 
 void Session::finish(std::int32_t stream) {
   const auto at = streams_.find(stream);
-  if (dead_ || at == streams_.end() || !at->second.inBody || std::exchange(at->second.finished, true)) return;
+  if (failed_ || at == streams_.end() || !at->second.bodyOpen || std::exchange(at->second.finished, true))
+    return;
   nghttp2_session_resume_data(session_, stream);
 }
 
@@ -330,7 +339,7 @@
 
 void Session::reset(std::int32_t stream, Code code) {
   const auto at = streams_.find(stream);
-  if (dead_ || at == streams_.end()) return;
+  if (failed_ || at == streams_.end()) return;
   at->second.localReset = true;
   nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, stream, std::uint32_t(code));
 }
@@ -341,39 +350,39 @@
 
 std::size_t Session::buffered(std::int32_t stream) const {
   const auto at = streams_.find(stream);
-  return at == streams_.end() ? 0 : at->second.out.size() - at->second.at;
+  return at == streams_.end() ? 0 : at->second.outgoing.size() - at->second.outgoingAt;
 }
 
 void Session::consumed(std::int32_t stream, std::size_t bytes) {
-  if (!dead_ && bytes > 0 && streams_.contains(stream))
+  if (!failed_ && bytes > 0 && streams_.contains(stream))
     nghttp2_session_consume_stream(session_, stream, bytes);
 }
 
 void Session::ping() { nghttp2_submit_ping(session_, NGHTTP2_FLAG_NONE, nullptr); }
 
-void Session::goawaySoon() {
-  if (!dead_ && role_ == Role::server) nghttp2_submit_shutdown_notice(session_);
+void Session::sendShutdownNotice() {
+  if (!failed_ && role_ == Role::server) nghttp2_submit_shutdown_notice(session_);
 }
 
 void Session::goaway(Code code) {
-  if (dead_) return;
+  if (failed_) return;
   nghttp2_submit_goaway(session_, NGHTTP2_FLAG_NONE, nghttp2_session_get_last_proc_stream_id(session_),
                         std::uint32_t(code), nullptr, 0);
 }
 
 void Session::goawayBelow(std::int32_t stream) {
-  if (!dead_) nghttp2_submit_goaway(session_, NGHTTP2_FLAG_NONE, std::max(0, stream - 2), 0, nullptr, 0);
+  if (!failed_) nghttp2_submit_goaway(session_, NGHTTP2_FLAG_NONE, std::max(0, stream - 2), 0, nullptr, 0);
 }
 
-int Session::peerStreams() const {
-  const std::uint32_t most =
+int Session::peerMaxConcurrentStreams() const {
+  const std::uint32_t maximum =
       nghttp2_session_get_remote_settings(session_, NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS);
-  return int(std::min<std::uint32_t>(most, 1U << 30));
+  return int(std::min<std::uint32_t>(maximum, 1U << 30));
 }
 
-bool Session::written(std::int32_t stream) const {
+bool Session::headersWritten(std::int32_t stream) const {
   const auto at = streams_.find(stream);
-  return at != streams_.end() && at->second.headEnd && *at->second.headEnd <= taken_;
+  return at != streams_.end() && at->second.headersEnd && *at->second.headersEnd <= bytesWritten_;
 }
 
 }  // namespace cometdeal::http2
--- a/src/http2/session.hpp
+++ b/src/http2/session.hpp
@@ -1,6 +1,9 @@
-// One HTTP/2 connection, either end of it, on libnghttp2. It does no I/O and reads no clock: bytes go in and
-// come out, what happened comes out as events. Bodies are written with back-pressure in sight: buffered(),
-// and the event Room; what is read frees its stream's window only as the owner says.
+// One HTTP/2 connection, as server or client, on top of libnghttp2. It does no I/O and reads no clock:
+// received bytes are passed in, bytes to send are taken out, and everything that happens is returned as an
+// event.
+//
+// Flow control: the sender of a body checks buffered() and waits for the event Room. The flow-control window
+// of a received body is reopened only when the owner calls consumed().
 #pragma once
 
 #include <cstdint>
@@ -18,10 +21,12 @@
 
 namespace cometdeal::http2 {
 
+// Header or trailer fields in the order in which they are sent.
 using Fields = std::vector<std::pair<std::string, std::string>>;
+// The value of the first field with this name, or null.
 const std::string* find(const Fields& fields, std::string_view name);
 
-// RFC 9113, section 7.
+// Error codes of RFC 9113, section 7.
 enum class Code : std::uint32_t {
   none = 0,
   protocol = 1,
@@ -38,25 +43,32 @@
   inadequateSecurity = 12,
   http11Required = 13,
 };
+// The name of the code in the RFC, such as "REFUSED_STREAM".
 const char* name(Code code);
 
+// What this end allows the other end.
 struct Limits {
-  int streams = 100;                        // that the other side may have open
-  std::int32_t streamWindow = 64 * 1024;    // bytes of a body that may come before the owner takes any
-  std::int32_t connectionWindow = 1 << 20;  // the same for all bodies of the connection
-  std::size_t fieldsMost = 16UL * 1024;  // bytes of names and values of one list of fields, 32 added for each
-  int nuisances = 200;                   // resets, pings, settings and empty frames in a burst ...
-  double nuisancesPerSecond = 50;        // ... and as many a second; beyond it the connection is closed
+  int streams = 100;                        // concurrent streams that the other end may open
+  std::int32_t streamWindow = 64 * 1024;    // bytes of one body that may arrive before consumed() is called
+  std::int32_t connectionWindow = 1 << 20;  // bytes of all bodies that may be in flight on the connection
+  // Bytes of one list of header or trailer fields: names and values, plus 32 for each field.
+  std::size_t maxFieldsBytes = 16UL * 1024;
+  // Flood protection: overhead frames (see Session::countOverheadFrame) that may arrive in one burst, and the
+  // rate that may be sustained. The connection is closed beyond that.
+  int overheadFrameBurst = 200;
+  double overheadFramesPerSecond = 50;
 };
 
 class Session {
  public:
   enum class Role { server, client };
 
-  struct Headers {  // the first fields of a stream; informational ones (1xx) are dropped
+  // The header fields that open a request or response. Informational responses (1xx) are dropped.
+  // If the fields exceed Limits::maxFieldsBytes, the rest is dropped and a field ":too-much" is appended.
+  struct Headers {
     std::int32_t stream = 0;
     Fields fields;
-    bool end = false;
+    bool end = false;  // END_STREAM is set: there is no body
   };
   struct Trailers {
     std::int32_t stream = 0;
@@ -66,100 +78,119 @@
     std::int32_t stream = 0;
     std::string bytes;
   };
-  struct End {  // the other side has said all
+  // The other end has sent END_STREAM.
+  struct End {
     std::int32_t stream = 0;
   };
-  struct Room {  // all that was written is in words
+  // The body passed to write() so far has been put into frames; more may be written.
+  struct Room {
     std::int32_t stream = 0;
   };
-  struct Closed {  // both sides are through, or either has reset it; what `find` gave is gone
+  // The stream is closed, because both ends have finished or either has reset it. Its state is discarded.
+  struct Closed {
     std::int32_t stream = 0;
     Code code = Code::none;
-    bool local = false;  // by this side
+    bool local = false;  // this end has reset it
   };
   struct Goaway {
-    std::int32_t last = 0;  // streams above it have not been and will not be looked at
+    std::int32_t last = 0;  // the other end has not processed streams above this one and will not do so
     Code code = Code::none;
   };
+  // A PING of this end is acknowledged.
   struct Pong {};
-  struct Peer {};  // the other side's settings have come
-  using Event = std::variant<Headers, Trailers, Data, End, Room, Closed, Goaway, Pong, Peer>;
+  // The other end's SETTINGS have arrived.
+  struct PeerSettings {};
+  using Event = std::variant<Headers, Trailers, Data, End, Room, Closed, Goaway, Pong, PeerSettings>;
 
   Session(Role role, Limits limits);
   ~Session();
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
 
-  // False: the connection can't go on; `why` tells. What is still to be written (a GOAWAY) should be, then
-  // close. `now` in microseconds, of any clock that does not go back.
+  // Processes bytes from the socket. Returns false if the connection cannot continue, for the reason in
+  // closeReason(): the caller then writes the pending output (a GOAWAY) and closes. `now` is in microseconds
+  // of any monotonic clock.
   bool received(std::string_view bytes, std::int64_t now);
+  // The events since the previous call.
   std::vector<Event> take() { return std::exchange(events_, {}); }
   bool hasEvents() const { return !events_.empty(); }
-  const std::string& why() const { return why_; }
-  bool dead() const { return dead_; }
+  const std::string& closeReason() const { return closeReason_; }
+  bool failed() const { return failed_; }
 
-  // Bytes for the socket, and how many of them it took.
+  // The next bytes for the socket; empty if there is nothing to send. The view is valid until the next call.
+  // It can cause events.
   std::string_view front();
+  // Reports how many of those bytes the socket accepted.
   void wrote(std::size_t bytes);
   bool wantsWrite() const;
-  bool done() const;  // nothing more is to be read or written
+  // Nothing more is to be read or written on the connection.
+  bool finished() const;
 
-  // A new stream of the client's; nothing: there can be none any more on this connection.
+  // Opens a stream and sends the request's header fields; `end` if there is no body. Client only. Returns
+  // nothing if the connection accepts no new streams.
   std::optional<std::int32_t> open(const Fields& fields, bool end);
+  // Sends the response's header fields; `end` if there is no body. Only the first call for a stream counts.
   void respond(std::int32_t stream, const Fields& fields, bool end);
+  // Appends to the stream's body.
   void write(std::int32_t stream, std::string_view bytes);
-  void finish(std::int32_t stream);                          // the body ends
-  void finish(std::int32_t stream, const Fields& trailers);  // the same, with fields behind it
+  // Ends the body, optionally with trailer fields.
+  void finish(std::int32_t stream);
+  void finish(std::int32_t stream, const Fields& trailers);
   void reset(std::int32_t stream, Code code);
-  // Once this side has said all, what the other still says is not wanted: a reset without an error follows.
+  // If the other end is still sending when this end has sent its END_STREAM, resets the stream with NO_ERROR:
+  // the rest of the request is not needed.
   void closeWhenSaid(std::int32_t stream);
-  std::size_t buffered(std::int32_t stream) const;  // of a body, not yet in words
-  // So much of a body was taken: as much may come again.
+  // Bytes of the stream's outgoing body that are not in frames yet.
+  std::size_t buffered(std::int32_t stream) const;
+  // Reopens the stream's flow-control window by this many bytes of received body.
   void consumed(std::int32_t stream, std::size_t bytes);
 
   void ping();
-  // The first says only that no stream begins from now on; the second, sent when those that crossed it have
-  // come, names the last that was looked at.
-  void goawaySoon();
+  // Graceful shutdown of a server, in two steps. sendShutdownNotice() sends a GOAWAY that refuses no stream
+  // yet. goaway(), called when streams that crossed the notice have arrived, names the last stream processed.
+  void sendShutdownNotice();
   void goaway(Code code = Code::none);
-  void goawayBelow(std::int32_t stream);  // says that this stream and later ones were not looked at
+  // Sends a GOAWAY that reports this stream and all later ones as not processed.
+  void goawayBelow(std::int32_t stream);
 
+  // Open streams.
   std::size_t streams() const { return streams_.size(); }
-  int peerStreams() const;  // that the other side lets this one have open
-  // Whether the last byte of the stream's first fields was taken by the socket: from then on it may have been
-  // acted on.
-  bool written(std::int32_t stream) const;
+  // The other end's SETTINGS_MAX_CONCURRENT_STREAMS.
+  int peerMaxConcurrentStreams() const;
+  // Whether the socket has accepted all of the stream's header fields, so that the other end may have acted
+  // on them.
+  bool headersWritten(std::int32_t stream) const;
 
  private:
   struct Stream {
-    std::string out;
-    std::size_t at = 0;
-    bool finished = false, headed = false, inBody = false, told = false, localReset = false,
+    std::string outgoing;  // body to send; the first outgoingAt bytes are in frames already
+    std::size_t outgoingAt = 0;
+    bool finished = false, headersReceived = false, bodyOpen = false, responded = false, localReset = false,
          closeWhenSaid = false;
     std::optional<Fields> trailers;
-    Fields fields;  // that are coming in
+    Fields fields;  // of the list that is being received
     std::size_t fieldsBytes = 0;
-    bool tooMuch = false;
-    std::optional<std::uint64_t> headEnd;  // in bytes of the connection
+    bool fieldsTooLarge = false;
+    std::optional<std::uint64_t> headersEnd;  // offset in the connection's output behind the header fields
   };
   struct Callbacks;
 
-  bool nuisance();
-  void stopFor(Code code, const char* why);
+  bool countOverheadFrame();
+  void terminate(Code code, const char* reason);
 
   Role role_;
   Limits limits_;
   nghttp2_session* session_ = nullptr;
   std::vector<Event> events_;
   std::unordered_map<std::int32_t, Stream> streams_;
-  std::vector<std::int32_t> heads_;  // put into words with the chunk that is being made
-  std::string out_;
-  std::size_t outAt_ = 0;
-  std::uint64_t made_ = 0, taken_ = 0;  // bytes put into words; bytes that the socket took
-  double calm_ = 0;
-  std::int64_t calmAt_ = 0, now_ = 0;
-  bool dead_ = false;
-  std::string why_;
+  std::vector<std::int32_t> headersInChunk_;  // streams whose HEADERS frame is in the chunk being produced
+  std::string output_;
+  std::size_t outputAt_ = 0;
+  std::uint64_t bytesProduced_ = 0, bytesWritten_ = 0;  // totals; written: accepted by the socket
+  double overheadLevel_ = 0;                            // fill level of the leaky bucket, in frames
+  std::int64_t overheadLevelAt_ = 0, now_ = 0;          // microseconds
+  bool failed_ = false;
+  std::string closeReason_;
 };
 
 }  // namespace cometdeal::http2
--- a/src/leaf/grpc/channels.cpp
+++ b/src/leaf/grpc/channels.cpp
@@ -98,7 +98,7 @@
 }
 
 bool Channels::room(const Channel& c) const {
-  return int(c.streams.size() + c.waiting.size()) < c.session->peerStreams();
+  return int(c.streams.size() + c.waiting.size()) < c.session->peerMaxConcurrentStreams();
 }
 
 Channels::Channel* Channels::pick(Server& server) {
@@ -121,7 +121,7 @@
   c.address = server.entry.address;
   http2::Limits limits;
   limits.streamWindow = limits_.streamWindow;
-  limits.fieldsMost = limits_.metadataMost;
+  limits.maxFieldsBytes = limits_.metadataMost;
   c.session = std::make_unique<Session>(Session::Role::client, limits);
   server.channels.push_back(h);
   c.deadline = agenda_.add(now_ + limits_.connectTimeout, {Due::Kind::connect, h});
@@ -228,7 +228,7 @@
   const auto at = places_.find(number(attempt));
   if (at == places_.end()) return;
   const Channel* c = channels_.get(at->second.link);
-  if (!c || (at->second.stream != 0 && c->session->written(at->second.stream))) return;
+  if (!c || (at->second.stream != 0 && c->session->headersWritten(at->second.stream))) return;
   giveUp(attempt);
   count(Count::withdrawn);
   effects_.push_back(Ended{attempt, Outcome::cancelled, {}});
@@ -291,7 +291,7 @@
   settle(*c);
   c = channels_.get(link);
   if (!c) return;
-  if (!good) return lost(*c, c->session->why().c_str(), false);
+  if (!good) return lost(*c, c->session->closeReason().c_str(), false);
   effects_.push_back(Flush{link});
 }
 
@@ -310,7 +310,7 @@
   }
   if (c.leaving && c.up && c.streams.empty() && !c.session->wantsWrite())
     return lost(c, "no longer wanted", true);
-  if (c.up && c.session->done()) return lost(c, c.session->why().c_str(), c.streams.empty());
+  if (c.up && c.session->finished()) return lost(c, c.session->closeReason().c_str(), c.streams.empty());
   if (c.up) watch(c);
 }
 
@@ -481,7 +481,7 @@
   }
   for (const Call& call : c.waiting) end(call.attempt, Outcome::connectFailed);
   for (auto& [id, s] : c.streams) {
-    conclude(s, grpc::ofConnection(c.session->written(id)));
+    conclude(s, grpc::ofConnection(c.session->headersWritten(id)));
     release(s);
   }
   const std::string server = c.server;
