--- a/src/front/grpc/calls.cpp
+++ b/src/front/grpc/calls.cpp
@@ -7,7 +7,7 @@
 namespace cometdeal::net {
 namespace {
 
-using grpc::Kind;
+using grpc::MethodKind;
 using grpc::Status;
 using http2::Code;
 using http2::Session;
@@ -33,8 +33,12 @@
   return name == "te" || name == "grpc-timeout" || name == "grpc-previous-rpc-attempts" ||
          name == "connection" || name == "content-length";
 }
-bool streamsIn(Kind kind) { return kind == Kind::clientStreaming || kind == Kind::bidiStreaming; }
-bool streamsOut(Kind kind) { return kind == Kind::serverStreaming || kind == Kind::bidiStreaming; }
+bool streamsIn(MethodKind kind) {
+  return kind == MethodKind::clientStreaming || kind == MethodKind::bidiStreaming;
+}
+bool streamsOut(MethodKind kind) {
+  return kind == MethodKind::serverStreaming || kind == MethodKind::bidiStreaming;
+}
 std::string shown(std::string_view text) { return "'" + std::string(text.substr(0, 60)) + "'"; }
 
 }  // namespace
@@ -125,7 +129,7 @@
   if (!route) return bad(Status::unimplemented, "unknown method " + shown(path));
   Micros time = route->deadline;
   if (const std::string* text = http2::find(fields, "grpc-timeout")) {
-    const auto read = grpc::readTimeout(*text);
+    const auto read = grpc::parseTimeout(*text);
     if (!read)
       return bad(Status::invalidArgument,
                  "grpc-timeout " + shown(*text) + ": expected up to 8 digits and one of H M S m u n");
@@ -182,20 +186,20 @@
   Flow& request = call.exchange->request;
   const std::size_t most = host_->config->messageMost;
   switch (call.messages->feed(bytes)) {
-    case grpc::MessageReader::State::tooLong:
+    case grpc::MessageFrameParser::State::tooLong:
       return fail(id, Status::resourceExhausted, "a message over " + std::to_string(most) + " bytes");
-    case grpc::MessageReader::State::badFlag:
+    case grpc::MessageFrameParser::State::invalidFlag:
       return fail(id, Status::internal, "a message's first byte is neither 0 nor 1");
-    case grpc::MessageReader::State::notCompressible:
+    case grpc::MessageFrameParser::State::unexpectedCompression:
       return fail(id, Status::internal, "a compressed message without grpc-encoding");
-    case grpc::MessageReader::State::good:
+    case grpc::MessageFrameParser::State::good:
       break;
   }
   request.push(bytes);
   if (!streamsIn(call.route->kind) && request.held() > most + kHeadOfMessage)
     return fail(id, Status::unimplemented, "more than one message where the method takes one");
   // Beyond what is kept for another attempt, the call stays with the one it has.
-  if (request.kept() && streamsIn(call.route->kind) && request.held() > host_->config->replayMost)
+  if (request.kept() && streamsIn(call.route->kind) && request.held() > host_->config->maxReplayBytes)
     request.release();
   freeRequest(id, call);
 }
@@ -203,7 +207,8 @@
 // The client may send as much again as is gone, or still fits in what is kept.
 void GrpcCalls::freeRequest(std::int32_t id, Call& call) {
   const Flow& request = call.exchange->request;
-  const std::uint64_t most = request.kept() ? request.length() : request.begin() + host_->config->replayMost;
+  const std::uint64_t most =
+      request.kept() ? request.length() : request.begin() + host_->config->maxReplayBytes;
   const std::uint64_t to = std::min(request.length(), most);
   if (to <= call.freed) return;
   session_.consumed(id, std::size_t(to - call.freed));
@@ -213,7 +218,8 @@
 void GrpcCalls::ended(std::int32_t id) {
   const auto at = calls_.find(id);
   if (at == calls_.end()) return;
-  if (!at->second.messages->between()) return fail(id, Status::internal, "the request ends within a message");
+  if (!at->second.messages->atMessageBoundary())
+    return fail(id, Status::internal, "the request ends within a message");
   at->second.exchange->request.end();
   if (at->second.state == State::comingIn) ask(id, at->second);
 }
@@ -266,7 +272,7 @@
   if (call.exchange->lastFailure) {
     Fields tail = (*call.exchange->lastFailure)->tail();
     const std::string* status = http2::find(tail, "grpc-status");
-    const auto read = status ? grpc::readStatus(*status) : std::nullopt;
+    const auto read = status ? grpc::parseStatus(*status) : std::nullopt;
     if (read && *read != Status::ok) {
       std::erase_if(tail, [](const auto& f) {
         return f.first == "grpc-status" || f.first == "grpc-retry-pushback-ms" || f.first == kMayHaveRun ||
--- a/src/front/grpc/calls.hpp
+++ b/src/front/grpc/calls.hpp
@@ -67,7 +67,7 @@
     std::shared_ptr<Exchange> exchange;
     NewQuery asked;
     Handle query;
-    std::optional<grpc::MessageReader> messages;
+    std::optional<grpc::MessageFrameParser> messages;
     std::uint64_t freed = 0;  // of the request's bytes, the client's window was freed for
     Micros until = 0;
     std::shared_ptr<FlowReader> reply;
--- a/src/front/grpc/server.cpp
+++ b/src/front/grpc/server.cpp
@@ -55,7 +55,7 @@
         if (!ec) {
           // At the bound a connection without a call makes room; without one, the new one is closed at once:
           // its client tries elsewhere, while in the backlog it would not know.
-          if (int(server->connections_.size()) < server->config_.connectionsMost || server->makeRoom())
+          if (int(server->connections_.size()) < server->config_.maxConnections || server->makeRoom())
             server->accepted(std::move(*socket));
           else
             server->counters_.add(Count::clientConnectionsShed);
--- a/src/grpc/routes.cpp
+++ b/src/grpc/routes.cpp
@@ -10,14 +10,14 @@
 
 using net::StrictYaml;
 
-constexpr Micros kDeadlineMost = 24LL * 3600 * 1'000'000;
+constexpr Micros kMaxDeadline = 24LL * 3600 * 1'000'000;
 
-std::string metadataName(const StrictYaml& at) {
+std::string readMetadataName(const StrictYaml& at) {
   std::string name = at.string();
   for (const char c : name)
     if (!((c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.'))
       at.fail("expected the name of a metadata entry (a-z 0-9 - _ .), found '" + name + "'");
-  if (name.ends_with("-bin")) at.fail("'" + name + "' is a binary entry: a key is text");
+  if (name.ends_with("-bin")) at.fail("'" + name + "' is a binary entry; expected one with text");
   return name;
 }
 
@@ -39,27 +39,28 @@
     cls.fail("expected a class of the mixer's settings (" + all + "), found '" + cls.string() + "'");
   }
   out.cls = int(found - classes.begin());
-  const ClassSettings& of = settings[std::size_t(out.cls)];
+  const ClassSettings& classSettings = settings[std::size_t(out.cls)];
   out.kind =
-      Kind(at.need("kind").choice({"unary", "server_streaming", "client_streaming", "bidi_streaming"}));
-  if (const auto key = at.find("key")) out.key = metadataName(*key);
-  if (const auto shard = at.find("shard")) out.shard = metadataName(*shard);
-  if (const auto key = at.find("idempotency_key")) out.idempotencyKey = metadataName(*key);
+      MethodKind(at.need("kind").choice({"unary", "server_streaming", "client_streaming", "bidi_streaming"}));
+  if (const auto key = at.find("key")) out.key = readMetadataName(*key);
+  if (const auto shard = at.find("shard")) out.shard = readMetadataName(*shard);
+  if (const auto key = at.find("idempotency_key")) out.idempotencyKey = readMetadataName(*key);
   if (const auto repeat = at.find("repeat")) out.repeat = repeat->boolean();
   const auto deadline = at.find("deadline");
-  out.deadline = deadline ? deadline->duration(1000, kDeadlineMost) : of.deadline;
-  if (of.effect == Effect::keyed && out.repeat && out.idempotencyKey.empty())
+  out.deadline = deadline ? deadline->duration(1000, kMaxDeadline) : classSettings.deadline;
+  if (classSettings.effect == Effect::keyed && out.repeat && out.idempotencyKey.empty())
     at.fail("the class '" + cls.string() +
-            "' is keyed: name the entry with the key (idempotency_key), or say repeat: false");
-  if (of.followUp > 0)
-    cls.fail("the class '" + cls.string() + "' has a second step, which a gRPC call has not");
+            "' is keyed: set idempotency_key to the name of the entry with the key, or set repeat: false");
+  if (classSettings.followUp > 0)
+    cls.fail("the class '" + cls.string() + "' has a second step, which gRPC calls do not support");
   at.done();
   return out;
 }
 
+// Sets `to` if the key is present.
 template <typename T>
-void number(StrictYaml& at, const char* key, T& to, std::int64_t least, std::int64_t most) {
-  if (const auto found = at.find(key)) to = T(found->integer(least, most));
+void readNumber(StrictYaml& at, const char* key, T& to, std::int64_t minimum, std::int64_t maximum) {
+  if (const auto found = at.find(key)) to = T(found->integer(minimum, maximum));
 }
 
 Config read(StrictYaml at, const std::vector<std::string>& classes,
@@ -67,18 +68,18 @@
   Config out;
   out.listen = at.need("listen").address();
   if (auto limits = at.find("limits")) {
-    number(*limits, "connections", out.connectionsMost, 1, 1'000'000);
-    number(*limits, "streams_per_connection", out.streamsPerConnection, 1, 100'000);
-    number(*limits, "message_bytes", out.messageMost, 1, 1 << 30);
-    number(*limits, "metadata_bytes", out.metadataMost, 256, 1 << 20);
-    number(*limits, "replay_bytes", out.replayMost, 0, 1 << 30);
-    number(*limits, "stream_window_bytes", out.streamWindow, 1024, 1 << 30);
+    readNumber(*limits, "connections", out.maxConnections, 1, 1'000'000);
+    readNumber(*limits, "streams_per_connection", out.streamsPerConnection, 1, 100'000);
+    readNumber(*limits, "message_bytes", out.messageMost, 1, 1 << 30);
+    readNumber(*limits, "metadata_bytes", out.metadataMost, 256, 1 << 20);
+    readNumber(*limits, "replay_bytes", out.maxReplayBytes, 0, 1 << 30);
+    readNumber(*limits, "stream_window_bytes", out.streamWindow, 1024, 1 << 30);
     limits->done();
   }
   if (auto leaves = at.find("leaves")) {
-    number(*leaves, "port_offset", out.leafPortOffset, -65535, 65535);
-    number(*leaves, "connections", out.connectionsPerLeaf, 1, 64);
-    if (const auto span = leaves->find("keepalive")) out.keepalive = span->duration(100'000, kDeadlineMost);
+    readNumber(*leaves, "port_offset", out.leafPortOffset, -65535, 65535);
+    readNumber(*leaves, "connections", out.connectionsPerLeaf, 1, 64);
+    if (const auto span = leaves->find("keepalive")) out.keepalive = span->duration(100'000, kMaxDeadline);
     leaves->done();
   }
   const StrictYaml routes = at.need("routes");
@@ -86,7 +87,7 @@
   for (const StrictYaml& one : routes.list()) {
     out.routes.push_back(readRoute(one, classes, settings));
     if (!seen.insert(out.routes.back().method).second)
-      one.fail("the method '" + out.routes.back().method + "' stands twice");
+      one.fail("the method '" + out.routes.back().method + "' has 2 routes");
   }
   if (out.routes.empty()) routes.fail("expected at least one route");
   at.done();
@@ -99,8 +100,8 @@
   const auto exact = std::ranges::find(routes, path, &Route::method);
   if (exact != routes.end()) return &*exact;
   const std::string any = path.substr(0, path.rfind('/') + 1) + "*";
-  const auto wild = std::ranges::find(routes, any, &Route::method);
-  return wild == routes.end() ? nullptr : &*wild;
+  const auto wildcard = std::ranges::find(routes, any, &Route::method);
+  return wildcard == routes.end() ? nullptr : &*wildcard;
 }
 
 Config readConfig(const std::string& text, const std::string& name, const std::vector<std::string>& classes,
--- a/src/grpc/routes.hpp
+++ b/src/grpc/routes.hpp
@@ -1,4 +1,5 @@
-// Which gRPC methods are taken, and as what: the table that an operator writes in YAML (docs/grpc.md).
+// The gRPC configuration file in YAML: listen address, limits, and the table of routes that maps gRPC methods
+// to classes of queries. docs/grpc.md describes its format.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -11,37 +12,45 @@
 
 namespace cometdeal::grpc {
 
-enum class Kind { unary, serverStreaming, clientStreaming, bidiStreaming };
+enum class MethodKind { unary, serverStreaming, clientStreaming, bidiStreaming };
 
+// How calls of one method, or of all methods of a service, are handled.
 struct Route {
-  std::string method;  // "/package.Service/Method", or "/package.Service/*" for those not named
-  int cls = 0;         // by its place among the settings' classes
-  Kind kind = Kind::unary;
-  std::string key;    // names of metadata entries; empty: none. What the call is about ...
-  std::string shard;  // ... the shard that holds it (a whole number); otherwise it follows from the key
-  std::string idempotencyKey;  // needed by a keyed class
-  bool repeat = true;          // false: nothing that may have run is sent again, whatever its class
-  Micros deadline = 0;         // where the client gives none
+  std::string
+      method;   // "/package.Service/Method", or "/package.Service/*" for methods without their own route
+  int cls = 0;  // index into the classes of the settings
+  MethodKind kind = MethodKind::unary;
+  // Names of metadata entries of the request; empty: none.
+  std::string key;             // the key of the query
+  std::string shard;           // the index of the shard; without it the shard is derived from the key
+  std::string idempotencyKey;  // required for a keyed class unless `repeat` is false
+  bool repeat = true;          // false: a call that may have run is never sent again, whatever its class
+  Micros deadline = 0;         // time limit of a call for which the client sets none
 };
 
 struct Config {
   net::Address listen;
-  int connectionsMost = 256;
+  int maxConnections = 256;  // of clients
   int streamsPerConnection = 100;
   int connectionsPerLeaf = 2;
   std::size_t messageMost = 4UL << 20;     // bytes of one message
-  std::size_t metadataMost = 16UL * 1024;  // bytes of names and values
-  // Bytes of a request that are kept for another attempt; beyond them the call stays with the leaf it has.
-  std::size_t replayMost = 1UL << 20;
-  std::int32_t streamWindow = 64 * 1024;  // bytes of a stream that may wait for who does not read
-  int leafPortOffset = 0;                 // a leaf server's gRPC port less the port that discovery gives
-  Micros keepalive = 5'000'000;  // a connection that owes and says nothing for so long is asked (PING)
+  std::size_t metadataMost = 16UL * 1024;  // bytes of names and values, plus 32 for each entry
+  // Bytes of a streamed request that are retained for replay by another attempt. A call with a longer request
+  // stays with the attempt it has.
+  std::size_t maxReplayBytes = 1UL << 20;
+  std::int32_t streamWindow = 64 * 1024;  // bytes of a stream's body that may wait for a slow reader
+  int leafPortOffset = 0;                 // a leaf server's gRPC port minus the port that discovery gives
+  // A connection to a leaf server that has outstanding calls and receives nothing for this time is sent a
+  // PING.
+  Micros keepalive = 5'000'000;
   std::vector<Route> routes;
 
+  // The route for a request's :path. An exact match takes precedence over "/*". Null if there is none.
   const Route* find(const std::string& path) const;
 };
 
-// Throws net::BadConfig. Classes are named as in the mixer's settings.
+// Parses the configuration; throws net::BadConfig. `name` is the file name for error messages. `classes` and
+// `settings` are the names and settings of the mixer's classes, in the same order.
 Config readConfig(const std::string& text, const std::string& name, const std::vector<std::string>& classes,
                   const std::vector<ClassSettings>& settings);
 Config readConfigFile(const std::string& path, const std::vector<std::string>& classes,
--- a/src/grpc/words.hpp
+++ b/src/grpc/words.hpp
@@ -1,6 +1,6 @@
-// gRPC's words over HTTP/2, as "gRPC over HTTP/2" and the retry design (A6) put them: statuses, time-outs,
-// the encoding of messages' heads, and the one table of what a status or an end of a stream says of an
-// attempt. No I/O.
+// The gRPC protocol on top of HTTP/2, as in "gRPC over HTTP/2" and the retry design (gRFC A6): statuses,
+// time-outs, message framing, and the mapping of each status or end of a stream to the outcome of an attempt.
+// No I/O.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -35,45 +35,55 @@
   dataLoss = 15,
   unauthenticated = 16,
 };
-const char* name(Status status);                            // as in "UNAVAILABLE"
-std::optional<Status> statusNamed(std::string_view name);   // of the same
-std::optional<Status> readStatus(std::string_view digits);  // of `grpc-status`
+// The name of the status, such as "UNAVAILABLE", and the reverse.
+const char* name(Status status);
+std::optional<Status> statusFromName(std::string_view name);
+// Parses the value of `grpc-status`. A code that is not defined gives Status::unknown.
+std::optional<Status> parseStatus(std::string_view digits);
 
-// `grpc-timeout`: up to 8 digits and one of H M S m u n. At least 1 us.
-std::optional<Micros> readTimeout(std::string_view text);
-std::string writeTimeout(Micros left);
+// The value of `grpc-timeout`: up to 8 digits and a unit, one of H M S m u n. The result of parseTimeout() is
+// at least 1 us. formatTimeout() rounds down, but to no less than 1 us.
+std::optional<Micros> parseTimeout(std::string_view text);
+std::string formatTimeout(Micros left);
 
-// `grpc-message`: percent-encoded UTF-8.
+// Percent-encodes UTF-8 text for `grpc-message`.
 std::string encodeMessage(std::string_view text);
 
-// The heads of messages in a body that comes in pieces: one byte that says whether it is compressed, four of
-// its length, most significant first.
-class MessageReader {
+// Checks the framing of the length-prefixed messages in a body that arrives in pieces. Each message has a
+// prefix of one byte, the compressed flag, and four bytes of length, most significant first.
+class MessageFrameParser {
  public:
-  enum class State { good, tooLong, badFlag, notCompressible };
-  MessageReader(std::size_t most, bool mayCompress) : most_(most), mayCompress_(mayCompress) {}
+  enum class State { good, tooLong, invalidFlag, unexpectedCompression };
+  // `compressionAllowed`: the sender has announced an encoding.
+  MessageFrameParser(std::size_t maxMessageBytes, bool compressionAllowed)
+      : maxMessageBytes_(maxMessageBytes), compressionAllowed_(compressionAllowed) {}
+  // Checks the next bytes of the body. Not to be called again after an error.
   State feed(std::string_view bytes);
-  std::uint64_t messages() const { return messages_; }  // whole ones
-  bool between() const { return head_ == 0 && left_ == 0; }
+  std::uint64_t messages() const { return messages_; }  // complete ones so far
+  bool atMessageBoundary() const { return prefixRead_ == 0 && bodyLeft_ == 0; }
 
  private:
-  std::size_t most_;
-  bool mayCompress_;
-  int head_ = 0;  // bytes of the head that have come
+  std::size_t maxMessageBytes_;
+  bool compressionAllowed_;
+  int prefixRead_ = 0;  // bytes of the current prefix that have arrived
   std::uint32_t length_ = 0;
-  std::size_t left_ = 0;
+  std::size_t bodyLeft_ = 0;
   std::uint64_t messages_ = 0;
 };
 
-// What the end of an attempt at a leaf server says. `passes`: the answer goes to the client as it is,
-// whatever else there is. The others are the decision module's to send again or to give up.
-struct Verdict {
+// The result of an attempt at a leaf server. With Outcome::done the answer is passed on to the client as it
+// is. With any other outcome the decision module chooses whether to send the call again.
+struct AttemptResult {
   Outcome outcome = Outcome::done;
   Status status = Status::ok;
 };
-Verdict ofStatus(Status status);
-Verdict ofHttp(int status);          // without a `grpc-status`
-Verdict ofReset(http2::Code code);   // RST_STREAM, or a stream above a GOAWAY's last
-Verdict ofConnection(bool written);  // it broke, or did not come up
+AttemptResult resultOfStatus(Status status);
+// For a response without `grpc-status`.
+AttemptResult resultOfHttpStatus(int status);
+// For RST_STREAM, or a stream above a GOAWAY's last stream.
+AttemptResult resultOfReset(http2::Code code);
+// For a connection that broke or was not established. `written`: the call's header fields were sent
+// completely.
+AttemptResult resultOfConnectionLoss(bool written);
 
 }  // namespace cometdeal::grpc
--- a/src/leaf/grpc/channels.cpp
+++ b/src/leaf/grpc/channels.cpp
@@ -139,7 +139,7 @@
   for (const auto& field : head)
     if (field.first[0] == ':') fields.push_back(field);
   fields.emplace_back("te", "trailers");
-  fields.emplace_back("grpc-timeout", grpc::writeTimeout(call.until - now_));
+  fields.emplace_back("grpc-timeout", grpc::formatTimeout(call.until - now_));
   if (call.number > 0) fields.emplace_back("grpc-previous-rpc-attempts", std::to_string(call.number));
   for (const auto& field : head)
     if (field.first[0] != ':') fields.push_back(field);
@@ -326,9 +326,9 @@
       return c.session->consumed(data->stream, data->bytes.size());
     Stream& s = at->second;
     const auto state = s.messages->feed(data->bytes);
-    if (state != grpc::MessageReader::State::good) {
+    if (state != grpc::MessageFrameParser::State::good) {
       c.session->reset(data->stream, Code::cancel);
-      const bool tooLong = state == grpc::MessageReader::State::tooLong;
+      const bool tooLong = state == grpc::MessageFrameParser::State::tooLong;
       return closed(c, data->stream,
                     {Outcome::error, tooLong ? Status::resourceExhausted : Status::internal});
     }
@@ -344,7 +344,7 @@
   if (const auto* end = std::get_if<Session::Closed>(&event)) {
     const auto at = c.streams.find(end->stream);
     if (at == c.streams.end()) return;
-    return closed(c, end->stream, grpc::ofReset(end->code));
+    return closed(c, end->stream, grpc::resultOfReset(end->code));
   }
   if (const auto* away = std::get_if<Session::Goaway>(&event)) {
     c.leaving = true;
@@ -362,7 +362,7 @@
   const std::string* status = http2::find(fields, ":status");
   if (!grpcAnswer(fields) || !status || *status != "200") {
     c.session->reset(id, Code::cancel);
-    return closed(c, id, grpc::ofHttp(status ? std::atoi(status->c_str()) : 0));
+    return closed(c, id, grpc::resultOfHttpStatus(status ? std::atoi(status->c_str()) : 0));
   }
   if (http2::find(fields, ":too-much")) {
     c.session->reset(id, Code::cancel);
@@ -390,11 +390,11 @@
   if (!s.reply) return;
   trailers = withoutPseudo(std::move(trailers));
   const std::string* digits = http2::find(trailers, kStatusField);
-  const auto status = digits ? grpc::readStatus(*digits) : std::nullopt;
+  const auto status = digits ? grpc::parseStatus(*digits) : std::nullopt;
   if (!status) return closed(c, id, {Outcome::error, Status::unknown});
   s.reply->onRoom = s.reply->onStopped = nullptr;
   s.reply->end(std::move(trailers));
-  counts(s, grpc::ofStatus(*status).outcome);
+  counts(s, grpc::resultOfStatus(*status).outcome);
   // What of the request is not out yet nobody waits for.
   if (!s.finished) c.session->reset(id, Code::cancel);
   release(s);
@@ -403,7 +403,7 @@
 }
 
 // It ended without an answer's trailers.
-void Channels::closed(Channel& c, std::int32_t id, grpc::Verdict verdict) {
+void Channels::closed(Channel& c, std::int32_t id, grpc::AttemptResult verdict) {
   const auto at = c.streams.find(id);
   if (at == c.streams.end()) return;
   conclude(at->second, verdict);
@@ -412,7 +412,7 @@
   watch(c);
 }
 
-void Channels::conclude(Stream& s, grpc::Verdict verdict) {
+void Channels::conclude(Stream& s, grpc::AttemptResult verdict) {
   const bool passed = s.reply && !s.live;  // its client has had some of it
   if (!s.reply) s.reply = std::make_shared<Flow>(false);
   s.reply->onRoom = s.reply->onStopped = nullptr;
@@ -481,7 +481,7 @@
   }
   for (const Call& call : c.waiting) end(call.attempt, Outcome::connectFailed);
   for (auto& [id, s] : c.streams) {
-    conclude(s, grpc::ofConnection(c.session->headersWritten(id)));
+    conclude(s, grpc::resultOfConnectionLoss(c.session->headersWritten(id)));
     release(s);
   }
   const std::string server = c.server;
--- a/src/leaf/grpc/channels.hpp
+++ b/src/leaf/grpc/channels.hpp
@@ -80,7 +80,7 @@
     int listening = 0;
     std::shared_ptr<Flow> reply;
     std::uint64_t passed = 0;  // of the reply's bytes: its stream's window was freed for
-    std::optional<grpc::MessageReader> messages;
+    std::optional<grpc::MessageFrameParser> messages;
   };
   struct Channel {
     std::string server;
@@ -111,8 +111,8 @@
   void handle(Channel& c, http2::Session::Event& event);
   void headers(Channel& c, std::int32_t id, Fields fields, bool end);
   void answered(Channel& c, std::int32_t id, Fields trailers);
-  void closed(Channel& c, std::int32_t id, grpc::Verdict verdict);
-  void conclude(Stream& s, grpc::Verdict verdict);
+  void closed(Channel& c, std::int32_t id, grpc::AttemptResult verdict);
+  void conclude(Stream& s, grpc::AttemptResult verdict);
   void counts(Stream& s, Outcome outcome);  // its attempt is over, with what there is of an answer
   void mark(Handle link, std::int32_t id);
   void watch(Channel& c);
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -182,34 +182,35 @@
 // ---- Words ----
 void testWords() {
   using namespace grpc;
-  assert(readTimeout("1S") == 1'000'000 && readTimeout("250m") == 250'000 && readTimeout("7u") == 7);
-  assert(readTimeout("2H") == 7'200'000'000 && readTimeout("3M") == 180'000'000 && readTimeout("5000n") == 5);
-  assert(readTimeout("1n") == 1 && readTimeout("99999999H"));
+  assert(parseTimeout("1S") == 1'000'000 && parseTimeout("250m") == 250'000 && parseTimeout("7u") == 7);
+  assert(parseTimeout("2H") == 7'200'000'000 && parseTimeout("3M") == 180'000'000 &&
+         parseTimeout("5000n") == 5);
+  assert(parseTimeout("1n") == 1 && parseTimeout("99999999H"));
   for (const char* bad : {"", "S", "1", "1s", "-1S", "+1S", "123456789S", "1.5S", " 1S", "1S "})
-    assert(!readTimeout(bad));
+    assert(!parseTimeout(bad));
   for (const Micros t : {Micros(1), Micros(999), 250 * ms, 99'999'999 * ms, Micros(1) << 50})
-    assert(*readTimeout(writeTimeout(t)) <= t || t < 1);
-  assert(writeTimeout(0) == "1u" && writeTimeout(250'000) == "250000u" &&
-         writeTimeout(400'000'000) == "400000m");
+    assert(*parseTimeout(formatTimeout(t)) <= t || t < 1);
+  assert(formatTimeout(0) == "1u" && formatTimeout(250'000) == "250000u" &&
+         formatTimeout(400'000'000) == "400000m");
   assert(encodeMessage("a%b\n\xc3\xa9") == "a%25b%0A%C3%A9");
-  assert(readStatus("16") == Status::unauthenticated && readStatus("17") == Status::unknown &&
-         !readStatus("x") && !readStatus("-1") && !readStatus(""));
-  for (int k = 0; k <= 16; ++k) assert(statusNamed(name(Status(k))) == Status(k));
-  MessageReader reader(10, false);
+  assert(parseStatus("16") == Status::unauthenticated && parseStatus("17") == Status::unknown &&
+         !parseStatus("x") && !parseStatus("-1") && !parseStatus(""));
+  for (int k = 0; k <= 16; ++k) assert(statusFromName(name(Status(k))) == Status(k));
+  MessageFrameParser reader(10, false);
   const std::string two = message("abc") + message("");
-  for (const char c : two) assert(reader.feed({&c, 1}) == MessageReader::State::good);
-  assert(reader.messages() == 2 && reader.between());
-  assert(reader.feed(message("12345678901")) == MessageReader::State::tooLong);
-  assert(MessageReader(10, false).feed("\2") == MessageReader::State::badFlag);
-  assert(MessageReader(10, false).feed("\1") == MessageReader::State::notCompressible);
-  assert(MessageReader(10, true).feed(message("x", true)) == MessageReader::State::good);
+  for (const char c : two) assert(reader.feed({&c, 1}) == MessageFrameParser::State::good);
+  assert(reader.messages() == 2 && reader.atMessageBoundary());
+  assert(reader.feed(message("12345678901")) == MessageFrameParser::State::tooLong);
+  assert(MessageFrameParser(10, false).feed("\2") == MessageFrameParser::State::invalidFlag);
+  assert(MessageFrameParser(10, false).feed("\1") == MessageFrameParser::State::unexpectedCompression);
+  assert(MessageFrameParser(10, true).feed(message("x", true)) == MessageFrameParser::State::good);
   // What proves that nothing ran, and only that.
-  assert(ofReset(http2::Code::refusedStream).outcome == Outcome::busy &&
-         ofHttp(503).outcome == Outcome::busy);
-  assert(ofConnection(false).outcome == Outcome::connectFailed &&
-         ofConnection(true).outcome == Outcome::reset);
+  assert(resultOfReset(http2::Code::refusedStream).outcome == Outcome::busy &&
+         resultOfHttpStatus(503).outcome == Outcome::busy);
+  assert(resultOfConnectionLoss(false).outcome == Outcome::connectFailed &&
+         resultOfConnectionLoss(true).outcome == Outcome::reset);
   for (int code = 0; code <= 13; ++code)
-    if (code != 7) assert(ofReset(http2::Code(code)).outcome == Outcome::error);
+    if (code != 7) assert(resultOfReset(http2::Code(code)).outcome == Outcome::error);
 }
 
 // ---- Configuration ----
@@ -276,7 +277,7 @@
     for (const auto& seen : leaf->seen()) {
       assert(seen.messages.size() == 1 && seen.messages[0] == "hello" && seen.path == "/t.S/Unary");
       assert(http2::find(seen.fields, "x-own") && !http2::find(seen.fields, "grpc-previous-rpc-attempts"));
-      const auto left = grpc::readTimeout(seen.timeout);
+      const auto left = grpc::parseTimeout(seen.timeout);
       assert(left && *left <= 2'000 * ms && *left > 1'000 * ms);
     }
   // No time given: the route's own.
@@ -298,7 +299,7 @@
           client.call("/t.S/Unary", script(id, form + ("status=" + std::to_string(status))), message("x"));
       assert(rig.over(r));
       CHECK_CALL(r->status == status && r->outcomes == 1, r);
-      const bool passes = grpc::ofStatus(grpc::Status(status)).outcome == Outcome::done;
+      const bool passes = grpc::resultOfStatus(grpc::Status(status)).outcome == Outcome::done;
       assert(passes ? rig.ran(id) == 1 : rig.ran(id) >= 2 && rig.ran(id) <= 3);
       const std::string once = "once " + id;
       r = client.call("/t.S/Unsafe", script(once, form + ("status=" + std::to_string(status))), message("x"));
