--- a/src/front/grpc/calls.cpp
+++ b/src/front/grpc/calls.cpp
@@ -12,14 +12,16 @@
 using http2::Code;
 using http2::Session;
 
-// A client counts its time from when it began the call, and has its outcome only when that has come back.
-constexpr Micros kWay = 5'000;
-// The core answers so much ahead of a call's end at the most; what it gave up on then was out of time.
-constexpr Micros kNearEnd = 30'000;
-// Of an answer, handed to the session ahead of the socket and the client's window.
-constexpr std::size_t kAhead = 32UL * 1024;
-constexpr std::size_t kHeadOfMessage = 5;
-constexpr const char* kMayHaveRun = "cometdeal-may-have-run";
+// Subtracted from the client's time limit: the client starts its clock before the request arrives here, and
+// the outcome has to travel back.
+constexpr Micros kReturnTime = 5'000;
+// The core gives up on a call at most this long before its deadline. A failure this close to the deadline is
+// reported as DEADLINE_EXCEEDED.
+constexpr Micros kNearDeadline = 30'000;
+// Bytes of a reply that are passed to the session ahead of the socket and the client's window.
+constexpr std::size_t kMaxBufferedReplyBytes = 32UL * 1024;
+constexpr std::size_t kMessagePrefixBytes = 5;  // compressed flag and length
+constexpr const char* kMayHaveRunField = "cometdeal-may-have-run";
 
 http2::Limits limits(const grpc::Config& config) {
   http2::Limits out;
@@ -28,80 +30,81 @@
   out.maxFieldsBytes = config.metadataMost;
   return out;
 }
-// What belongs to this connection, or is put in anew for the next.
-bool ofTheWay(const std::string& name) {
+// Whether a field applies to this connection only, or is set anew for the connection to the leaf server.
+bool isConnectionSpecific(const std::string& name) {
   return name == "te" || name == "grpc-timeout" || name == "grpc-previous-rpc-attempts" ||
          name == "connection" || name == "content-length";
 }
-bool streamsIn(MethodKind kind) {
+bool clientStreams(MethodKind kind) {
   return kind == MethodKind::clientStreaming || kind == MethodKind::bidiStreaming;
 }
-bool streamsOut(MethodKind kind) {
+bool serverStreams(MethodKind kind) {
   return kind == MethodKind::serverStreaming || kind == MethodKind::bidiStreaming;
 }
-std::string shown(std::string_view text) { return "'" + std::string(text.substr(0, 60)) + "'"; }
+// For messages to the client: at most 60 bytes of the text, in quotes.
+std::string quoted(std::string_view text) { return "'" + std::string(text.substr(0, 60)) + "'"; }
 
 }  // namespace
 
-GrpcCalls::GrpcCalls(std::shared_ptr<const CallHost> host, std::string name, Micros now)
-    : host_(std::move(host)),
+GrpcCalls::GrpcCalls(std::shared_ptr<const FrontContext> context, std::string name, Micros now)
+    : context_(std::move(context)),
       name_(std::move(name)),
       now_(now),
-      session_(Session::Role::server, limits(*host_->config)) {}
+      session_(Session::Role::server, limits(*context_->config)) {}
 
-GrpcCalls::~GrpcCalls() { gone(); }
+GrpcCalls::~GrpcCalls() { connectionEnded(); }
 
-void GrpcCalls::gone() {
+void GrpcCalls::connectionEnded() {
   *alive_ = false;
-  while (!calls_.empty()) over(calls_.begin()->first);
+  while (!calls_.empty()) removeCall(calls_.begin()->first);
 }
 
 bool GrpcCalls::received(std::string_view bytes) {
   const bool good = session_.received(bytes, now_);
-  if (good) begun_ = true;
+  if (good) receivedHttp2_ = true;
   while (session_.hasEvents())
     for (Session::Event& event : session_.take()) handle(event);
   return good;
 }
 
-std::string_view GrpcCalls::front() {
+std::string_view GrpcCalls::nextBytes() {
   for (;;) {
     while (session_.hasEvents())
       for (Session::Event& event : session_.take()) handle(event);
     for (const std::int32_t id : std::exchange(dirty_, {})) {
       const auto at = calls_.find(id);
       if (at == calls_.end()) continue;
-      freeRequest(id, at->second);
-      pass(id);
+      reopenRequestWindow(id, at->second);
+      forwardReply(id);
     }
     const std::string_view bytes = session_.front();
     if (!bytes.empty() || (!session_.hasEvents() && dirty_.empty())) return bytes;
   }
 }
 
-void GrpcCalls::mark(std::int32_t id) {
+void GrpcCalls::markDirty(std::int32_t id) {
   if (std::ranges::find(dirty_, id) != dirty_.end()) return;
   dirty_.push_back(id);
-  host_->wake();
+  context_->scheduleFlush();
 }
 
 void GrpcCalls::handle(Session::Event& event) {
   if (const auto* first = std::get_if<Session::Headers>(&event))
-    return begin(first->stream, first->fields, first->end);
-  if (const auto* data = std::get_if<Session::Data>(&event)) return this->data(data->stream, data->bytes);
-  if (const auto* end = std::get_if<Session::End>(&event)) return ended(end->stream);
-  if (const auto* room = std::get_if<Session::Room>(&event)) return pass(room->stream);
+    return beginCall(first->stream, first->fields, first->end);
+  if (const auto* data = std::get_if<Session::Data>(&event)) return receiveData(data->stream, data->bytes);
+  if (const auto* end = std::get_if<Session::End>(&event)) return requestEnded(end->stream);
+  if (const auto* room = std::get_if<Session::Room>(&event)) return forwardReply(room->stream);
   if (const auto* closed = std::get_if<Session::Closed>(&event)) {
     if (!calls_.contains(closed->stream)) return;
-    host_->counters->add(Count::clientsGone);
-    over(closed->stream);
+    context_->counters->add(Count::clientsGone);
+    removeCall(closed->stream);
   }
 }
 
-void GrpcCalls::begin(std::int32_t id, const Fields& fields, bool end) {
-  host_->counters->add(Count::requests);
-  const auto bad = [&](Status status, const std::string& why) {
-    host_->counters->add(Count::badRequests);
+void GrpcCalls::beginCall(std::int32_t id, const Fields& fields, bool end) {
+  context_->counters->add(Count::requests);
+  const auto reject = [&](Status status, const std::string& why) {
+    context_->counters->add(Count::badRequests);
     session_.respond(id,
                      {{":status", "200"},
                       {"content-type", "application/grpc"},
@@ -117,77 +120,79 @@
   const std::string_view type = field("content-type");
   if (field(":method") != "POST" || !type.starts_with("application/grpc") ||
       (type.size() > 16 && type[16] != '+' && type[16] != ';')) {
-    host_->counters->add(Count::badRequests);
+    context_->counters->add(Count::badRequests);
     session_.respond(id, {{":status", field(":method") == "POST" ? "415" : "405"}}, true);
     return session_.closeWhenSaid(id);
   }
   if (http2::find(fields, ":too-much"))
-    return bad(Status::resourceExhausted,
-               "metadata over " + std::to_string(host_->config->metadataMost) + " bytes");
+    return reject(Status::resourceExhausted,
+                  "metadata over " + std::to_string(context_->config->metadataMost) + " bytes");
   const std::string path(field(":path"));
-  const grpc::Route* route = host_->config->find(path);
-  if (!route) return bad(Status::unimplemented, "unknown method " + shown(path));
+  const grpc::Route* route = context_->config->find(path);
+  if (!route) return reject(Status::unimplemented, "unknown method " + quoted(path));
   Micros time = route->deadline;
   if (const std::string* text = http2::find(fields, "grpc-timeout")) {
-    const auto read = grpc::parseTimeout(*text);
-    if (!read)
-      return bad(Status::invalidArgument,
-                 "grpc-timeout " + shown(*text) + ": expected up to 8 digits and one of H M S m u n");
-    time = std::min(*read, Micros(1) << 50);
+    const auto parsed = grpc::parseTimeout(*text);
+    if (!parsed)
+      return reject(Status::invalidArgument,
+                    "grpc-timeout " + quoted(*text) + ": expected up to 8 digits and one of H M S m u n");
+    time = std::min(*parsed, Micros(1) << 50);
   }
   Call call;
   call.route = route;
-  call.until = std::min(now_ + time - kWay, endBy_);
-  NewQuery& q = call.asked;
+  call.deadline = std::min(now_ + time - kReturnTime, drainDeadline_);
+  NewQuery& q = call.query;
   q.id = name_ + "." + std::to_string(id);
   q.cls = route->cls;
-  q.until = call.until;
+  q.until = call.deadline;
   if (!route->key.empty()) {
     const std::string_view key = field(route->key);
     if (!key.empty()) q.key = std::string(key);
   }
   int shard =
-      int(std::hash<std::string_view>()(q.key ? *q.key : q.id) % std::size_t(std::max(1, host_->shards)));
+      int(std::hash<std::string_view>()(q.key ? *q.key : q.id) % std::size_t(std::max(1, context_->shards)));
   if (!route->shard.empty()) {
     const std::string_view text = field(route->shard);
     const auto [stop, ec] = std::from_chars(text.data(), text.data() + text.size(), shard);
     if (text.empty() || ec != std::errc() || stop != text.data() + text.size() || shard < 0 ||
-        shard >= host_->shards)
-      return bad(Status::invalidArgument, route->shard + " " + shown(text) + ": expected a shard from 0 to " +
-                                              std::to_string(host_->shards - 1));
+        shard >= context_->shards)
+      return reject(Status::invalidArgument, route->shard + " " + quoted(text) +
+                                                 ": expected a shard from 0 to " +
+                                                 std::to_string(context_->shards - 1));
   }
   q.parts.push_back({shard, 1.0});
   if (!route->idempotencyKey.empty()) {
     const std::string_view key = field(route->idempotencyKey);
-    if (key.empty() && host_->classKeyed[std::size_t(route->cls)])
-      return bad(Status::invalidArgument, route->idempotencyKey + " is missing");
+    if (key.empty() && context_->classKeyed[std::size_t(route->cls)])
+      return reject(Status::invalidArgument, route->idempotencyKey + " is missing");
     if (!key.empty()) q.idempotencyKey = std::string(key);
   }
   call.exchange = std::make_shared<Exchange>(true);
   call.exchange->once = !route->repeat;
-  call.exchange->streamed = streamsOut(route->kind);
+  call.exchange->streamed = serverStreams(route->kind);
   Fields& head = call.exchange->request.head;
   for (const auto& one : fields)
-    if ((one.first[0] != ':' || one.first == ":path" || one.first == ":authority") && !ofTheWay(one.first))
+    if ((one.first[0] != ':' || one.first == ":path" || one.first == ":authority") &&
+        !isConnectionSpecific(one.first))
       head.push_back(one);
-  call.messages.emplace(host_->config->messageMost,
+  call.messages.emplace(context_->config->messageMost,
                         !field("grpc-encoding").empty() && field("grpc-encoding") != "identity");
-  call.deadline = agenda_.add(call.until, id);
-  call.exchange->request.onRoom = [this, id] { mark(id); };
+  call.deadlineTimer = timers_.add(call.deadline, id);
+  call.exchange->request.onRoom = [this, id] { markDirty(id); };
   Call& held = calls_.emplace(id, std::move(call)).first->second;
-  if (end) return;  // ended() follows
-  if (streamsIn(route->kind)) ask(id, held);
+  if (end) return;  // requestEnded() follows
+  if (clientStreams(route->kind)) submit(id, held);
 }
 
-void GrpcCalls::data(std::int32_t id, const std::string& bytes) {
+void GrpcCalls::receiveData(std::int32_t id, const std::string& bytes) {
   const auto at = calls_.find(id);
   if (at == calls_.end()) return session_.consumed(id, bytes.size());
   Call& call = at->second;
   Flow& request = call.exchange->request;
-  const std::size_t most = host_->config->messageMost;
+  const std::size_t maxBytes = context_->config->messageMost;
   switch (call.messages->feed(bytes)) {
     case grpc::MessageFrameParser::State::tooLong:
-      return fail(id, Status::resourceExhausted, "a message over " + std::to_string(most) + " bytes");
+      return fail(id, Status::resourceExhausted, "a message over " + std::to_string(maxBytes) + " bytes");
     case grpc::MessageFrameParser::State::invalidFlag:
       return fail(id, Status::internal, "a message's first byte is neither 0 nor 1");
     case grpc::MessageFrameParser::State::unexpectedCompression:
@@ -196,71 +201,72 @@
       break;
   }
   request.push(bytes);
-  if (!streamsIn(call.route->kind) && request.held() > most + kHeadOfMessage)
+  if (!clientStreams(call.route->kind) && request.held() > maxBytes + kMessagePrefixBytes)
     return fail(id, Status::unimplemented, "more than one message where the method takes one");
-  // Beyond what is kept for another attempt, the call stays with the one it has.
-  if (request.kept() && streamsIn(call.route->kind) && request.held() > host_->config->maxReplayBytes)
+  // A request that exceeds the replay buffer is no longer retained: the call stays with the attempt it has.
+  if (request.kept() && clientStreams(call.route->kind) && request.held() > context_->config->maxReplayBytes)
     request.release();
-  freeRequest(id, call);
+  reopenRequestWindow(id, call);
 }
 
-// The client may send as much again as is gone, or still fits in what is kept.
-void GrpcCalls::freeRequest(std::int32_t id, Call& call) {
+// While the request is retained, all of it counts as consumed. After that the window advances with what the
+// attempt has consumed, plus the replay buffer's size.
+void GrpcCalls::reopenRequestWindow(std::int32_t id, Call& call) {
   const Flow& request = call.exchange->request;
-  const std::uint64_t most =
-      request.kept() ? request.length() : request.begin() + host_->config->maxReplayBytes;
-  const std::uint64_t to = std::min(request.length(), most);
-  if (to <= call.freed) return;
-  session_.consumed(id, std::size_t(to - call.freed));
-  call.freed = to;
+  const std::uint64_t limit =
+      request.kept() ? request.length() : request.begin() + context_->config->maxReplayBytes;
+  const std::uint64_t to = std::min(request.length(), limit);
+  if (to <= call.windowFreed) return;
+  session_.consumed(id, std::size_t(to - call.windowFreed));
+  call.windowFreed = to;
 }
 
-void GrpcCalls::ended(std::int32_t id) {
+void GrpcCalls::requestEnded(std::int32_t id) {
   const auto at = calls_.find(id);
   if (at == calls_.end()) return;
   if (!at->second.messages->atMessageBoundary())
     return fail(id, Status::internal, "the request ends within a message");
   at->second.exchange->request.end();
-  if (at->second.state == State::comingIn) ask(id, at->second);
+  if (at->second.state == State::receivingRequest) submit(id, at->second);
 }
 
-void GrpcCalls::ask(std::int32_t id, Call& call) {
-  call.state = State::asked;
-  NewQuery query = call.asked;
+void GrpcCalls::submit(std::int32_t id, Call& call) {
+  call.state = State::submitted;
+  NewQuery query = call.query;
   query.exchange = call.exchange;
   Handle handle;
-  const bool taken = host_->submit(
+  const bool accepted = context_->submit(
       std::move(query),
       [this, id, alive = std::weak_ptr<bool>(alive_)](const FinalAnswer& answer) {
-        const auto still = alive.lock();
-        if (still && *still) decided(id, answer);
+        const auto stillAlive = alive.lock();
+        if (stillAlive && *stillAlive) onFinalAnswer(id, answer);
       },
       handle);
-  const auto at = calls_.find(id);  // it may have been decided at once
+  const auto at = calls_.find(id);  // the final answer may have come from within submit()
   if (at == calls_.end()) return;
-  if (!taken) return fail(id, Status::internal, "the call's id is in use");
-  at->second.query = handle;
+  if (!accepted) return fail(id, Status::internal, "the call's id is in use");
+  at->second.queryHandle = handle;
 }
 
-// The mixer's outcomes, as the client is told them (the table in docs/grpc.md).
-void GrpcCalls::decided(std::int32_t id, const FinalAnswer& answer) {
+// Translates the core's final answer into the client's reply or status, as in the table in docs/grpc.md.
+void GrpcCalls::onFinalAnswer(std::int32_t id, const FinalAnswer& answer) {
   const auto at = calls_.find(id);
-  if (at == calls_.end() || at->second.state != State::asked) return;
+  if (at == calls_.end() || at->second.state != State::submitted) return;
   Call& call = at->second;
-  call.state = State::passing;
-  now_ = host_->now();
-  host_->wake();
+  call.state = State::responding;
+  now_ = context_->now();
+  context_->scheduleFlush();
   if (answer.kind == FinalAnswer::Kind::served && !answer.rows.empty() && answer.rows.front().reply) {
     call.reply = answer.rows.front().reply;
-    call.listening = (*call.reply)->listen([this, id] { mark(id); });
-    call.exchange->request.release();  // no other attempt will ask for it
-    return mark(id);
+    call.replySubscription = (*call.reply)->listen([this, id] { markDirty(id); });
+    call.exchange->request.release();  // no other attempt will read it
+    return markDirty(id);
   }
   const bool refused = answer.kind == FinalAnswer::Kind::refused;
-  Fields more{{kMayHaveRun, answer.mayHaveRun ? "1" : "0"}};
-  if (call.until - now_ <= kNearEnd)
+  Fields more{{kMayHaveRunField, answer.mayHaveRun ? "1" : "0"}};
+  if (call.deadline - now_ <= kNearDeadline)
     return fail(id, Status::deadlineExceeded, "no answer in time", std::move(more));
-  // A client may come back where that is harmless, after as long as it is told.
+  // The client may retry where that is safe, after the given time; otherwise it is told not to retry (-1).
   if (refused && !(call.exchange->once && answer.mayHaveRun)) {
     if (answer.retryAfter)
       more.emplace_back("grpc-retry-pushback-ms",
@@ -268,53 +274,53 @@
   } else {
     more.emplace_back("grpc-retry-pushback-ms", "-1");
   }
-  // The leaf's own status, message and further trailers, as they came.
+  // Pass on the status, message and further trailers of the last leaf server that failed, if there is one.
   if (call.exchange->lastFailure) {
-    Fields tail = (*call.exchange->lastFailure)->tail();
-    const std::string* status = http2::find(tail, "grpc-status");
-    const auto read = status ? grpc::parseStatus(*status) : std::nullopt;
-    if (read && *read != Status::ok) {
-      std::erase_if(tail, [](const auto& f) {
-        return f.first == "grpc-status" || f.first == "grpc-retry-pushback-ms" || f.first == kMayHaveRun ||
-               f.first == "content-type";
+    Fields trailers = (*call.exchange->lastFailure)->tail();
+    const std::string* status = http2::find(trailers, "grpc-status");
+    const auto parsed = status ? grpc::parseStatus(*status) : std::nullopt;
+    if (parsed && *parsed != Status::ok) {
+      std::erase_if(trailers, [](const auto& f) {
+        return f.first == "grpc-status" || f.first == "grpc-retry-pushback-ms" ||
+               f.first == kMayHaveRunField || f.first == "content-type";
       });
-      tail.insert(tail.end(), more.begin(), more.end());
-      return fail(id, *read, "", std::move(tail));
+      trailers.insert(trailers.end(), more.begin(), more.end());
+      return fail(id, *parsed, "", std::move(trailers));
     }
   }
   fail(id, Status::unavailable, refused ? "refused: come back later" : "no leaf server could serve it",
        std::move(more));
 }
 
-void GrpcCalls::pass(std::int32_t id) {
+void GrpcCalls::forwardReply(std::int32_t id) {
   const auto at = calls_.find(id);
   if (at == calls_.end() || !at->second.reply) return;
   Call& call = at->second;
   Flow& reply = **call.reply;
   const bool ended = reply.state() != Flow::State::open;
-  if (!call.headed) {
+  if (!call.headersSent) {
     Fields fields{{":status", "200"}};
     if (ended && reply.length() == 0 && reply.head.empty()) {  // Trailers-Only
       if (!http2::find(reply.tail(), "content-type")) fields.emplace_back("content-type", "application/grpc");
       fields.insert(fields.end(), reply.tail().begin(), reply.tail().end());
       session_.respond(id, fields, true);
-      return over(id);
+      return removeCall(id);
     }
     fields.insert(fields.end(), reply.head.begin(), reply.head.end());
     if (!http2::find(reply.head, "content-type")) fields.emplace_back("content-type", "application/grpc");
     session_.respond(id, fields, false);
-    call.headed = true;
+    call.headersSent = true;
   }
-  while (session_.buffered(id) < kAhead) {
-    const std::string_view piece = reply.from(call.passed).substr(0, kAhead);
+  while (session_.buffered(id) < kMaxBufferedReplyBytes) {
+    const std::string_view piece = reply.from(call.replySent).substr(0, kMaxBufferedReplyBytes);
     if (piece.empty()) break;
     session_.write(id, piece);
-    call.passed += piece.size();
-    reply.taken(call.passed);
+    call.replySent += piece.size();
+    reply.taken(call.replySent);
   }
-  if (!ended || call.passed < reply.length()) return;
+  if (!ended || call.replySent < reply.length()) return;
   session_.finish(id, reply.tail());
-  over(id);
+  removeCall(id);
 }
 
 void GrpcCalls::fail(std::int32_t id, Status status, std::string_view message, Fields more) {
@@ -323,53 +329,53 @@
   Fields fields{{"grpc-status", std::to_string(int(status))}};
   if (!message.empty()) fields.emplace_back("grpc-message", grpc::encodeMessage(message));
   fields.insert(fields.end(), more.begin(), more.end());
-  if (at->second.headed) {
+  if (at->second.headersSent) {
     session_.finish(id, fields);
   } else {
     fields.insert(fields.begin(), {{":status", "200"}, {"content-type", "application/grpc"}});
     session_.respond(id, fields, true);
   }
-  over(id);
+  removeCall(id);
 }
 
-void GrpcCalls::over(std::int32_t id) {
+void GrpcCalls::removeCall(std::int32_t id) {
   const auto at = calls_.find(id);
   if (at == calls_.end()) return;
   const Call call = std::move(at->second);
   calls_.erase(at);
-  auto key = call.deadline;
-  agenda_.drop(key);
+  auto key = call.deadlineTimer;
+  timers_.drop(key);
   Flow& request = call.exchange->request;
   request.onRoom = nullptr;
-  if (call.reply) (*call.reply)->unlisten(call.listening);
+  if (call.reply) (*call.reply)->unlisten(call.replySubscription);
   const bool open = request.state() == Flow::State::open;
-  if (call.state == State::asked) host_->abandon(call.query);
+  if (call.state == State::submitted) context_->abandon(call.queryHandle);
   request.fail();
-  // Its outcome is out and the client still speaks: it need not.
+  // The client is still sending the request, which is not needed any more.
   if (open) session_.closeWhenSaid(id);
 }
 
-void GrpcCalls::sweep() {
-  const std::uint64_t mark = agenda_.mark();
-  while (const std::optional<std::int32_t> id = agenda_.takeDue(now_, mark)) {
+void GrpcCalls::runDueTimers() {
+  const std::uint64_t mark = timers_.mark();
+  while (const std::optional<std::int32_t> id = timers_.takeDue(now_, mark)) {
     const auto at = calls_.find(*id);
     if (at == calls_.end()) continue;
-    at->second.deadline.reset();
+    at->second.deadlineTimer.reset();
     fail(*id, Status::deadlineExceeded, "the call's time is over",
-         {{kMayHaveRun, at->second.state == State::comingIn ? "0" : "1"}});
+         {{kMayHaveRunField, at->second.state == State::receivingRequest ? "0" : "1"}});
   }
 }
 
 void GrpcCalls::drain(Micros endBy) {
-  endBy_ = endBy;
+  drainDeadline_ = endBy;
   if (!std::exchange(draining_, true)) session_.sendShutdownNotice();
 }
 
-void GrpcCalls::lastGoaway() {
-  if (!std::exchange(last_, true)) session_.goaway();
+void GrpcCalls::sendFinalGoaway() {
+  if (!std::exchange(finalGoawaySent_, true)) session_.goaway();
 }
 
-std::size_t GrpcCalls::held() const {
+std::size_t GrpcCalls::bufferedBytes() const {
   std::size_t out = 0;
   for (const auto& [id, call] : calls_) {
     out += call.exchange->request.held() + session_.buffered(id);
--- a/src/front/grpc/calls.hpp
+++ b/src/front/grpc/calls.hpp
@@ -1,8 +1,13 @@
-// The gRPC calls of one client's connection, without I/O: bytes go in and come out, calls become queries for
-// the core, and each gets one final outcome, in trailers, before its deadline. Docs: docs/grpc.md.
+// The gRPC calls of one client's connection, without I/O: received bytes are passed in, bytes to send are
+// taken out. Each call becomes a query for the core and gets exactly one final status, in trailers, before
+// its deadline. See docs/grpc.md.
 //
-// A call:  coming in -> asked (the core has it) -> passing (an answer was chosen and goes on) -> over
-//          From any of them to over: its deadline, its client's reset, the end of the connection, bad input.
+// States of a call:
+//   receivingRequest  the request is not complete yet; only for methods whose request is not streamed
+//   submitted         the core has the query
+//   responding        the final answer is known; the reply is being forwarded to the client
+// A call in any state is removed when its deadline passes, its client resets it, the connection ends or the
+// client sends invalid input.
 #pragma once
 
 #include <functional>
@@ -21,85 +26,104 @@
 
 namespace cometdeal::net {
 
-// What the calls need of the core.
-struct CallHost {
+// What the calls of a connection need from the server and the core.
+struct FrontContext {
+  // Hands a query to the core, see Mixer::submit. Returns false if the id is in use.
   std::function<bool(NewQuery query, std::function<void(const FinalAnswer&)> answered, Handle& handle)>
       submit;
-  std::function<void(Handle query)> abandon;
-  std::function<Micros()> now;
-  std::function<void()> wake;  // there is something to do though no call of GrpcCalls is under way
+  std::function<void(Handle query)> abandon;  // the answer is no longer needed
+  std::function<Micros()> now;                // time on the loop's clock
+  // Asks the server to call nextBytes() soon, because of something that happened outside of calls to
+  // GrpcCalls.
+  std::function<void()> scheduleFlush;
   const grpc::Config* config = nullptr;
   int shards = 1;
-  std::vector<bool> classKeyed;
+  std::vector<bool> classKeyed;  // by class: whether calls must carry an idempotency key
   Counters* counters = nullptr;
 };
 
 class GrpcCalls {
  public:
-  // `name`: of the connection, unique in the process; ids of queries begin with it.
-  GrpcCalls(std::shared_ptr<const CallHost> host, std::string name, Micros now);
+  // `name` of the connection is unique in the process; the ids of queries begin with it.
+  GrpcCalls(std::shared_ptr<const FrontContext> context, std::string name, Micros now);
   ~GrpcCalls();
   GrpcCalls(const GrpcCalls&) = delete;
   GrpcCalls& operator=(const GrpcCalls&) = delete;
 
-  void at(Micros now) { now_ = now; }
-  bool received(std::string_view bytes);  // false: say what front() has, then close
-  std::string_view front();               // for the socket; empty: nothing for now
-  void wrote(std::size_t bytes) { session_.wrote(bytes); }
-  void gone();  // the connection has ended
-  std::optional<Micros> next() const { return agenda_.next(); }
-  void sweep();
+  // Sets the time, on the loop's clock, at which the following calls are made.
+  void setNow(Micros now) { now_ = now; }
+  // Processes bytes from the socket. Returns false if the connection cannot continue: the caller then writes
+  // the pending output and closes.
+  bool received(std::string_view bytes);
+  // The next bytes for the socket; empty if there is nothing to send now.
+  std::string_view nextBytes();
+  // Reports how many of those bytes the socket accepted.
+  void bytesWritten(std::size_t bytes) { session_.wrote(bytes); }
+  // The connection has ended; all its calls are abandoned.
+  void connectionEnded();
+  // When runDueTimers() is to be called next.
+  std::optional<Micros> nextTimer() const { return timers_.next(); }
+  void runDueTimers();
 
-  // No call that comes later than this has longer; the client is told to go elsewhere, in two steps.
+  // Graceful shutdown: announces it to the client, and limits the deadline of every later call to `endBy`.
+  // sendFinalGoaway() follows when calls that crossed the announcement have arrived.
   void drain(Micros endBy);
-  void lastGoaway();
-  std::size_t calls() const { return calls_.size(); }
-  bool begun() const { return begun_; }  // the client has spoken HTTP/2
-  bool over() const { return session_.finished() || (last_ && calls_.empty() && !session_.wantsWrite()); }
-  const std::string& why() const { return session_.closeReason(); }
-  std::size_t held() const;  // bytes of bodies
+  void sendFinalGoaway();
+  std::size_t openCalls() const { return calls_.size(); }
+  bool receivedHttp2() const { return receivedHttp2_; }  // the client has sent valid HTTP/2
+  // Nothing more is to be sent; the connection can be closed.
+  bool finished() const {
+    return session_.finished() || (finalGoawaySent_ && calls_.empty() && !session_.wantsWrite());
+  }
+  const std::string& closeReason() const { return session_.closeReason(); }
+  std::size_t bufferedBytes() const;  // bytes of request and reply bodies in memory
 
  private:
-  enum class State : std::uint8_t { comingIn, asked, passing };
+  enum class State : std::uint8_t { receivingRequest, submitted, responding };
   struct Call {
     const grpc::Route* route = nullptr;
-    State state = State::comingIn;
+    State state = State::receivingRequest;
     std::shared_ptr<Exchange> exchange;
-    NewQuery asked;
-    Handle query;
+    NewQuery query;
+    Handle queryHandle;
     std::optional<grpc::MessageFrameParser> messages;
-    std::uint64_t freed = 0;  // of the request's bytes, the client's window was freed for
-    Micros until = 0;
+    std::uint64_t windowFreed = 0;  // bytes of the request for which the client's window was reopened
+    Micros deadline = 0;
     std::shared_ptr<FlowReader> reply;
-    std::uint64_t passed = 0;
-    int listening = 0;
-    bool headed = false;
-    std::optional<Agenda<std::int32_t>::Key> deadline;
+    std::uint64_t replySent = 0;  // bytes of the reply passed to the session
+    int replySubscription = 0;
+    bool headersSent = false;  // of the reply
+    std::optional<Agenda<std::int32_t>::Key> deadlineTimer;
   };
 
   void handle(http2::Session::Event& event);
-  void begin(std::int32_t id, const Fields& fields, bool end);
-  void data(std::int32_t id, const std::string& bytes);
-  void ended(std::int32_t id);
-  void ask(std::int32_t id, Call& call);
-  void decided(std::int32_t id, const FinalAnswer& answer);
-  void pass(std::int32_t id);  // the reply's next pieces
-  void freeRequest(std::int32_t id, Call& call);
-  // The one place where a call that has no answer of a leaf server's gets its outcome.
+  void beginCall(std::int32_t id, const Fields& fields, bool end);
+  void receiveData(std::int32_t id, const std::string& bytes);
+  void requestEnded(std::int32_t id);
+  void submit(std::int32_t id, Call& call);
+  void onFinalAnswer(std::int32_t id, const FinalAnswer& answer);
+  // Passes what has arrived of the reply to the session, as far as its buffer allows.
+  void forwardReply(std::int32_t id);
+  // Lets the client send as many more bytes as were forwarded or fit into the replay buffer.
+  void reopenRequestWindow(std::int32_t id, Call& call);
+  // Ends a call that has no answer from a leaf server with this status. The only place that does so.
   void fail(std::int32_t id, grpc::Status status, std::string_view message, Fields more = {});
-  void over(std::int32_t id);  // takes the call out; whatever works for it is let go
-  void mark(std::int32_t id);
+  // Removes the call; abandons its query if the core has not answered it yet.
+  void removeCall(std::int32_t id);
+  // Has the call processed by the next nextBytes(), and schedules a flush.
+  void markDirty(std::int32_t id);
 
-  std::shared_ptr<const CallHost> host_;
+  std::shared_ptr<const FrontContext> context_;
   std::string name_;
   Micros now_;
   http2::Session session_;
   std::map<std::int32_t, Call> calls_;
-  std::vector<std::int32_t> dirty_;
-  Agenda<std::int32_t> agenda_;
+  std::vector<std::int32_t> dirty_;  // calls whose request or reply has changed
+  Agenda<std::int32_t> timers_;      // the deadline of each call
+  // Set to false when the connection ends, so that a late answer from the core is ignored.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  Micros endBy_ = INT64_MAX;
-  bool begun_ = false, draining_ = false, last_ = false;
+  Micros drainDeadline_ = INT64_MAX;
+  bool receivedHttp2_ = false, draining_ = false, finalGoawaySent_ = false;
 };
 
 }  // namespace cometdeal::net
--- a/src/front/grpc/server.cpp
+++ b/src/front/grpc/server.cpp
@@ -10,11 +10,11 @@
 
 using boost::system::error_code;
 
-constexpr Micros kFirstTime = 2'000'000;   // for a client to speak HTTP/2 at all
-constexpr Micros kIdleTime = 300'000'000;  // without a call
-constexpr Micros kLastTime = 1'000'000;    // for a client to take the last bytes and close
-constexpr Micros kAcceptPause = 20'000;
-constexpr Micros kSecondGoaway = 500'000;  // after the first: calls that crossed it have come by then
+constexpr Micros kHandshakeTimeout = 2'000'000;  // for a new client to send valid HTTP/2
+constexpr Micros kIdleTimeout = 300'000'000;     // for a connection without a call
+constexpr Micros kCloseTimeout = 1'000'000;      // for a client to read the last bytes and close
+constexpr Micros kAcceptPause = 20'000;          // after accept() has failed
+constexpr Micros kFinalGoawayDelay = 500'000;    // time for calls that crossed the first GOAWAY to arrive
 
 }  // namespace
 
@@ -29,10 +29,10 @@
     BOOST_ASIO_CORO_REENTER(this) {
       for (;;) {
         BOOST_ASIO_CORO_YIELD c->socket.async_read_some(boost::asio::buffer(c->incoming), *this);
-        if (!c->ending && !server->now(*c).received({c->incoming.data(), bytes})) {
+        if (!c->closing && !server->callsAtNow(*c).received({c->incoming.data(), bytes})) {
           server->counters_.add(Count::badRequests);
-          logLine("a gRPC client's connection ends: %s", c->calls.why().c_str());
-          c->ending = true;
+          logLine("a gRPC client's connection ends: %s", c->calls.closeReason().c_str());
+          c->closing = true;
         }
         server->flush(*c);
         if (c->closed) return;
@@ -53,18 +53,18 @@
         BOOST_ASIO_CORO_YIELD server->acceptor_.async_accept(*socket, *this);
         if (ec == boost::asio::error::operation_aborted) return;
         if (!ec) {
-          // At the bound a connection without a call makes room; without one, the new one is closed at once:
-          // its client tries elsewhere, while in the backlog it would not know.
-          if (int(server->connections_.size()) < server->config_.maxConnections || server->makeRoom())
-            server->accepted(std::move(*socket));
+          // At the limit an idle connection is closed in favour of the new one. If there is none, the new one
+          // is closed at once: its client tries another server, whereas in the backlog it would only wait.
+          if (int(server->connections_.size()) < server->config_.maxConnections || server->closeIdle())
+            server->addConnection(std::move(*socket));
           else
             server->counters_.add(Count::clientConnectionsShed);
           continue;
         }
-        // Out of descriptors, as a rule: the waiting client must not make this a busy loop.
+        // Usually out of descriptors. The client stays in the backlog: without a pause this would busy-loop.
         server->counters_.add(Count::acceptFailures);
         logLine("accept: %s", ec.message().c_str());
-        server->makeRoom();
+        server->closeIdle();
         BOOST_ASIO_CORO_YIELD {
           server->loop_.deadlines.add(server->loop_.now() + kAcceptPause,
                                       [self = *this]() mutable { self(error_code()); });
@@ -93,16 +93,16 @@
   Acceptor{this}();
 }
 
-GrpcCalls& GrpcServer::now(Connection& c) {
-  c.calls.at(loop_.now());
+GrpcCalls& GrpcServer::callsAtNow(Connection& c) {
+  c.calls.setNow(loop_.now());
   return c.calls;
 }
 
-bool GrpcServer::makeRoom() {
+bool GrpcServer::closeIdle() {
   Connection* oldest = nullptr;
   for (const Handle h : connections_.all()) {
     Connection* c = connections_.get(h);
-    if (c->calls.calls() == 0 && (!oldest || c->usedAt < oldest->usedAt)) oldest = c;
+    if (c->calls.openCalls() == 0 && (!oldest || c->lastUsedAt < oldest->lastUsedAt)) oldest = c;
   }
   if (!oldest) return false;
   counters_.add(Count::clientConnectionsShed);
@@ -110,48 +110,48 @@
   return true;
 }
 
-void GrpcServer::accepted(tcp::socket socket) {
+void GrpcServer::addConnection(tcp::socket socket) {
   counters_.add(Count::clientConnections);
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
-  auto host = std::make_shared<CallHost>();
-  host->submit = [this](NewQuery query, Mixer::Answered answered, Handle& handle) {
+  auto context = std::make_shared<FrontContext>();
+  context->submit = [this](NewQuery query, Mixer::Answered answered, Handle& handle) {
     return mixer_.submit(std::move(query), std::move(answered), handle);
   };
-  host->abandon = [this](Handle query) { mixer_.abandon(query); };
-  host->now = [] { return Loop::now(); };
-  host->config = &config_;
-  host->shards = shards_;
-  host->classKeyed = classKeyed_;
-  host->counters = &counters_;
+  context->abandon = [this](Handle query) { mixer_.abandon(query); };
+  context->now = [] { return Loop::now(); };
+  context->config = &config_;
+  context->shards = shards_;
+  context->classKeyed = classKeyed_;
+  context->counters = &counters_;
   const auto slot = std::make_shared<Handle>();
-  host->wake = [this, slot] { wake(*slot); };
-  const Handle h =
-      connections_.add(std::move(socket), std::move(host), "g" + std::to_string(++accepted_), loop_.now());
+  context->scheduleFlush = [this, slot] { scheduleFlush(*slot); };
+  const Handle h = connections_.add(std::move(socket), std::move(context),
+                                    "g" + std::to_string(++acceptedCount_), loop_.now());
   *slot = h;
   Connection& c = *connections_.get(h);
   c.self = h;
-  c.usedAt = loop_.now();
-  c.alarm.emplace(loop_, [this, h] {
+  c.lastUsedAt = loop_.now();
+  c.callTimer.emplace(loop_, [this, h] {
     Connection* due = connections_.get(h);
     if (!due) return;
-    now(*due).sweep();
+    callsAtNow(*due).runDueTimers();
     flush(*due);
   });
-  if (draining_) c.calls.drain(endBy_);
-  watch(c);
+  if (draining_) c.calls.drain(drainDeadline_);
+  updateTimeout(c);
   flush(c);
   if (const auto held = connections_.share(h)) Reader(this, held)();
 }
 
-void GrpcServer::wake(Handle h) {
+void GrpcServer::scheduleFlush(Handle h) {
   Connection* c = connections_.get(h);
-  if (!c || std::exchange(c->waking, true)) return;
+  if (!c || std::exchange(c->flushScheduled, true)) return;
   boost::asio::post(loop_.strand, [this, h] {
     Connection* again = connections_.get(h);
     if (!again) return;
-    again->waking = false;
+    again->flushScheduled = false;
     flush(*again);
   });
 }
@@ -160,11 +160,11 @@
   const std::shared_ptr<Connection> c = connections_.share(connection.self);
   if (!c || c->closed || c->writing) return;
   for (;;) {
-    const std::string_view bytes = now(*c).front();
+    const std::string_view bytes = callsAtNow(*c).nextBytes();
     if (bytes.empty()) break;
     error_code ec;
     const std::size_t n = c->socket.write_some(boost::asio::buffer(bytes.data(), bytes.size()), ec);
-    if (n > 0) c->calls.wrote(n);
+    if (n > 0) c->calls.bytesWritten(n);
     if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) {
       c->writing = true;
       c->socket.async_wait(tcp::socket::wait_write, [this, h = c->self](const error_code&) {
@@ -177,30 +177,31 @@
     }
     if (ec) return close(*c);
   }
-  if (!c->writing && (c->ending || c->calls.over())) {
-    // Nothing more comes from here; what the client still sends is read, so that this is no reset to it.
+  if (!c->writing && (c->closing || c->calls.finished())) {
+    // Nothing more is sent. What the client still sends is read, because closing with unread data would reset
+    // the connection.
     error_code ignored;
     c->socket.shutdown(tcp::socket::shutdown_send, ignored);
-    c->ending = true;
+    c->closing = true;
   }
-  c->alarm->set(c->calls.next());
-  watch(*c);
+  c->callTimer->set(c->calls.nextTimer());
+  updateTimeout(*c);
 }
 
-// One deadline: for the first bytes, between calls, or, after the last ones, for the client to close.
-void GrpcServer::watch(Connection& c) {
+void GrpcServer::updateTimeout(Connection& c) {
   const Micros now = loop_.now();
-  loop_.deadlines.drop(c.patience);
+  loop_.deadlines.drop(c.timeout);
   if (c.closed) return;
-  if (c.calls.calls() > 0 && !c.ending) {
-    c.usedAt = now;
+  if (c.calls.openCalls() > 0 && !c.closing) {
+    c.lastUsedAt = now;
     return;
   }
-  const Micros at = c.ending ? now + kLastTime : c.usedAt + (c.calls.begun() ? kIdleTime : kFirstTime);
-  c.patience = loop_.deadlines.add(at, [this, h = c.self] {
+  const Micros at = c.closing ? now + kCloseTimeout
+                              : c.lastUsedAt + (c.calls.receivedHttp2() ? kIdleTimeout : kHandshakeTimeout);
+  c.timeout = loop_.deadlines.add(at, [this, h = c.self] {
     Connection* late = connections_.get(h);
     if (!late) return;
-    late->patience.reset();
+    late->timeout.reset();
     close(*late);
   });
 }
@@ -209,26 +210,26 @@
   if (c.closed) return;
   const std::shared_ptr<Connection> keep = connections_.share(c.self);
   c.closed = true;
-  loop_.deadlines.drop(c.patience);
-  c.alarm->set(std::nullopt);
+  loop_.deadlines.drop(c.timeout);
+  c.callTimer->set(std::nullopt);
   connections_.remove(c.self);
-  now(c).gone();
+  callsAtNow(c).connectionEnded();
   error_code ignored;
   c.socket.close(ignored);
 }
 
 void GrpcServer::drain(Micros endBy) {
   draining_ = true;
-  endBy_ = endBy;
+  drainDeadline_ = endBy;
   for (const Handle h : connections_.all()) {
     Connection& c = *connections_.get(h);
-    now(c).drain(endBy);
+    callsAtNow(c).drain(endBy);
     flush(c);
   }
-  loop_.deadlines.add(loop_.now() + kSecondGoaway, [this] {
+  loop_.deadlines.add(loop_.now() + kFinalGoawayDelay, [this] {
     for (const Handle h : connections_.all())
       if (Connection* c = connections_.get(h)) {
-        now(*c).lastGoaway();
+        callsAtNow(*c).sendFinalGoaway();
         flush(*c);
       }
   });
@@ -238,20 +239,20 @@
   error_code ignored;
   acceptor_.close(ignored);
   for (const Handle h : connections_.all())
-    if (Connection* c = connections_.get(h); c && c->calls.calls() == 0) close(*c);
+    if (Connection* c = connections_.get(h); c && c->calls.openCalls() == 0) close(*c);
 }
 
-bool GrpcServer::busy() const { return calls() > 0; }
+bool GrpcServer::busy() const { return openCalls() > 0; }
 
-std::size_t GrpcServer::calls() const {
+std::size_t GrpcServer::openCalls() const {
   std::size_t out = 0;
-  for (const Handle h : connections_.all()) out += connections_.get(h)->calls.calls();
+  for (const Handle h : connections_.all()) out += connections_.get(h)->calls.openCalls();
   return out;
 }
 
-std::size_t GrpcServer::held() const {
+std::size_t GrpcServer::bufferedBytes() const {
   std::size_t out = 0;
-  for (const Handle h : connections_.all()) out += connections_.get(h)->calls.held();
+  for (const Handle h : connections_.all()) out += connections_.get(h)->calls.bufferedBytes();
   return out;
 }
 
--- a/src/front/grpc/server.hpp
+++ b/src/front/grpc/server.hpp
@@ -1,4 +1,4 @@
-// The gRPC front: accepts clients' connections and moves bytes between their sockets and their calls.
+// The gRPC front: accepts connections of clients and moves bytes between their sockets and GrpcCalls.
 #pragma once
 
 #include <array>
@@ -19,42 +19,51 @@
  public:
   using tcp = boost::asio::ip::tcp;
 
-  // `config` must outlive it.
+  // `config` must outlive the server.
   GrpcServer(Loop& loop, Counters& counters, Mixer& mixer, const grpc::Config& config,
              std::vector<bool> classKeyed, int shards);
   ~GrpcServer();
   void listen();  // throws boost::system::system_error
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
-  void drain(Micros endBy);  // clients are told to go elsewhere; what is open may finish by then
-  void finish();             // closes the listener and what is idle
-  bool busy() const;         // some call is open
+  // Graceful shutdown: tells clients to use other servers. Open calls may finish until `endBy`.
+  void drain(Micros endBy);
+  // Closes the listener and all connections without open calls.
+  void finish();
+  bool busy() const;  // some call is open
   std::size_t connections() const { return connections_.size(); }
-  std::size_t calls() const;
-  std::size_t held() const;  // bytes of bodies
+  std::size_t openCalls() const;
+  std::size_t bufferedBytes() const;  // bytes of request and reply bodies in memory
 
  private:
   struct Connection {
-    Connection(tcp::socket s, std::shared_ptr<const CallHost> host, std::string name, Micros now)
-        : socket(std::move(s)), calls(std::move(host), std::move(name), now) {}
+    Connection(tcp::socket s, std::shared_ptr<const FrontContext> context, std::string name, Micros now)
+        : socket(std::move(s)), calls(std::move(context), std::move(name), now) {}
     tcp::socket socket;
     GrpcCalls calls;
     Handle self;
-    bool closed = false, writing = false, waking = false, ending = false;
-    Micros usedAt = 0;
-    std::optional<Alarm> alarm;
-    std::optional<Deadlines::Key> patience;  // for the first bytes, between calls, or for the last to be read
+    // `writing`: waiting until the socket is writable. `closing`: all output is written; waiting for the
+    // client to close.
+    bool closed = false, writing = false, flushScheduled = false, closing = false;
+    Micros lastUsedAt = 0;                  // when it was accepted or last had an open call
+    std::optional<Alarm> callTimer;         // for GrpcCalls::nextTimer()
+    std::optional<Deadlines::Key> timeout;  // see updateTimeout()
     std::array<char, 16384> incoming;
   };
   struct Reader;
   struct Acceptor;
 
-  void accepted(tcp::socket socket);
+  void addConnection(tcp::socket socket);
+  // Writes what the calls have to send.
   void flush(Connection& c);
-  void wake(Handle h);
-  void watch(Connection& c);
+  void scheduleFlush(Handle h);
+  // Sets the connection's only time-out: for the client's first bytes, for a connection without calls, or for
+  // the client to close.
+  void updateTimeout(Connection& c);
   void close(Connection& c);
-  bool makeRoom();
-  GrpcCalls& now(Connection& c);
+  // Closes the connection that has been without calls for longest. Returns false if there is none.
+  bool closeIdle();
+  // The connection's calls, with their time set to now.
+  GrpcCalls& callsAtNow(Connection& c);
 
   Loop& loop_;
   Counters& counters_;
@@ -65,8 +74,8 @@
   tcp::acceptor acceptor_;
   std::optional<Deadlines::Key> acceptPause_;
   Slots<Connection> connections_;
-  std::uint64_t accepted_ = 0;
-  Micros endBy_ = INT64_MAX;
+  std::uint64_t acceptedCount_ = 0;
+  Micros drainDeadline_ = INT64_MAX;
   bool draining_ = false;
 };
 
--- a/tests/grpc_interop.cpp
+++ b/tests/grpc_interop.cpp
@@ -336,7 +336,7 @@
     bool left = true;
     std::atomic<bool> told = false;
     boost::asio::post(loop.strand, [&] {
-      left = server.calls() > 0 || mixer.open() > 0 || channels.streams() > 0 || channels.attempts() > 0;
+      left = server.openCalls() > 0 || mixer.open() > 0 || channels.streams() > 0 || channels.attempts() > 0;
       told = true;
     });
     while (!told) std::this_thread::sleep_for(1ms);
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -156,13 +156,13 @@
   // Nothing is left behind: no call, no attempt, no stream, no byte.
   void quiet() {
     const bool good = until([&] {
-      return server->calls() == 0 && mixer->open() == 0 && channels->attempts() == 0 &&
-             channels->streams() == 0 && leafStreams() == 0 && server->held() == 0;
+      return server->openCalls() == 0 && mixer->open() == 0 && channels->attempts() == 0 &&
+             channels->streams() == 0 && leafStreams() == 0 && server->bufferedBytes() == 0;
     });
     if (!good)
       std::fprintf(stderr, "left: calls %zu open %zu attempts %zu streams %zu leaf streams %zu bytes %zu\n",
-                   server->calls(), mixer->open(), channels->attempts(), channels->streams(), leafStreams(),
-                   server->held());
+                   server->openCalls(), mixer->open(), channels->attempts(), channels->streams(),
+                   leafStreams(), server->bufferedBytes());
     assert(good);
     assert(counters.of(Count::defects) == 0);
   }
@@ -470,7 +470,7 @@
   Held r = slow.call("/t.S/Down", script("slow", many + " status=0"), message("x"));
   assert(rig.until([&] { return r->bytes > 60'000; }));
   rig.pass(100 * ms);
-  const std::size_t held = rig.server->held();
+  const std::size_t held = rig.server->bufferedBytes();
   if (held > 3 * 65536) std::fprintf(stderr, "held %zu\n", held);
   assert(held <= 3 * 65536 && !r->over);
   Held quick = other.call("/t.S/Unary", script("quick", "read message=1 status=0"), message("x"));
@@ -483,7 +483,7 @@
   Held up = other.call("/t.S/Both", script("up", "deaf stall"), "", false);
   for (int k = 0; k < 40; ++k) other.say(up, message(std::string(50'000, 'u')));
   rig.pass(100 * ms);
-  assert(rig.server->held() < 50'000 + 65536 + 50'000 &&
+  assert(rig.server->bufferedBytes() < 50'000 + 65536 + 50'000 &&
          other.peer().session.buffered(up->stream) > 1'000'000);
   other.cancel(up);
   rig.quiet();
@@ -772,7 +772,8 @@
   rig.quiet();
   std::printf(
       "calls %zu, outcomes %d, after their deadline %d, run twice though unsafe %d, open at the end %zu\n",
-      all.size(), outcomes, late, twice, rig.mixer->open() + rig.server->calls() + rig.channels->attempts());
+      all.size(), outcomes, late, twice,
+      rig.mixer->open() + rig.server->openCalls() + rig.channels->attempts());
   for (const auto& [status, count] : byStatus)
     std::printf("  %-20s %d\n", status < 0 ? "cancelled by client" : grpc::name(grpc::Status(status)), count);
   std::printf("sends %lu, copies and retries %lu\n", (unsigned long)rig.counters.of(Count::sends),
