--- a/src/leaf/grpc/channels.hpp
+++ b/src/leaf/grpc/channels.hpp
@@ -1,12 +1,16 @@
-// gRPC calls on HTTP/2 connections to leaf servers, without I/O. Few long-lived connections, each with the
-// streams that the other side allows; a call is a stream.
+// gRPC calls to leaf servers over HTTP/2, without I/O. Each leaf server has a few long-lived connections
+// ("channels"); each attempt is one stream, within the number of streams that the server allows.
 //
-// A connection:  connecting -> up -> (leaving: the other side takes no new streams; what is open may finish)
-// -> closed An attempt:    open (its stream is, the request goes out as it comes) -> ended, by the first of:
-// the answer (its
-//                trailers; of a streamed one its first fields), a reset, the end of the connection, giveUp
-//                A streamed answer that has counted goes on under no attempt's handle until either side ends
-//                it.
+// States of a channel:
+//   connecting  calls wait
+//   connected   calls are sent
+//   draining    no new streams, because the server sent GOAWAY, drains, moved or was removed; open streams
+//   may
+//               finish, then the channel is closed
+//
+// An attempt ends with the first of: its answer, a reset, the end of the connection, giveUp. The answer is
+// complete with its trailers; a streamed answer ends the attempt with its header fields already, and the
+// stream then continues without the attempt until either end closes it.
 #pragma once
 
 #include <map>
@@ -27,17 +31,20 @@
 
 struct ChannelLimits {
   Micros connectTimeout = 1'000'000;
-  Micros connIdle = 0;          // closed after so long without a stream; 0: never
-  Micros keepalive = 0;         // after so long without a byte from a connection that owes: a ping; 0: none
-  Micros pongTime = 2'000'000;  // for its answer; without it the connection is dead
+  Micros connIdle = 0;  // a connection without streams is closed after this time; 0: never
+  // A connection that has streams and receives nothing for `keepalive` is sent a PING (0: never). If it
+  // receives nothing for another `pingTimeout`, it is closed.
+  Micros keepalive = 0;
+  Micros pingTimeout = 2'000'000;
   int connectionsPerLeaf = 2;
-  int connectionsMost = 256;  // in all
-  int portOffset = 0;
-  std::size_t messageMost = 4UL << 20;
-  std::size_t metadataMost = 16UL * 1024;
-  std::int32_t streamWindow = 64 * 1024;
+  int connectionsMost = 256;               // to all leaf servers
+  int portOffset = 0;                      // a leaf server's gRPC port minus the port that discovery gives
+  std::size_t messageMost = 4UL << 20;     // bytes of one message
+  std::size_t metadataMost = 16UL * 1024;  // bytes of the header or trailer fields of an answer
+  std::int32_t streamWindow = 64 * 1024;   // bytes of an answer that may wait for a slow client
 };
 
+// Sends calls to leaf servers by gRPC. See LeafMachine for the interface.
 class Channels : public LeafMachine {
  public:
   Channels(ChannelLimits limits, Counters* counters) : limits_(limits), counters_(counters) {}
@@ -52,83 +59,94 @@
   void closeIdle(const std::string& server) override;
   void closeAll() override;
 
-  void cameUp(Handle link, std::int64_t unixMs) override;
-  std::string_view front(Handle link) override;
-  void wrote(Handle link, std::size_t bytes) override;
-  void blocked(Handle link) override;
-  void writable(Handle link) override;
-  void received(Handle link, std::string_view bytes) override;
-  void failed(Handle link, const char* why) override;
+  void cameUp(Handle connection, std::int64_t unixMs) override;
+  std::string_view front(Handle connection) override;
+  void wrote(Handle connection, std::size_t bytes) override;
+  void blocked(Handle connection) override;
+  void writable(Handle connection) override;
+  void received(Handle connection, std::string_view bytes) override;
+  void failed(Handle connection, const char* reason) override;
 
-  std::optional<Micros> next() const override { return agenda_.next(); }
+  std::optional<Micros> next() const override { return timers_.next(); }
   void sweep() override;
   std::size_t size() const override { return channels_.size(); }
-  std::size_t streams() const;  // open, on all connections
-  std::size_t attempts() const { return places_.size(); }
+  std::size_t streams() const;                               // open streams of all connections
+  std::size_t attempts() const { return attempts_.size(); }  // that have not ended
 
  private:
-  struct Due {
+  struct Timer {
+    // `pong`: waiting for the answer to a PING.
     enum class Kind : std::uint8_t { connect, idle, keepalive, pong } kind = Kind::connect;
-    Handle link;
+    Handle connection;
   };
   struct Stream {
-    Handle attempt;  // until it has ended
-    bool live = true;
+    Handle attempt;  // valid while attemptOpen
+    bool attemptOpen = true;
     std::shared_ptr<Exchange> exchange;
-    std::uint64_t sent = 0;  // of the request, handed to the session
-    bool finished = false;
-    int listening = 0;
+    std::uint64_t requestSent = 0;  // bytes of the request passed to the session
+    bool requestFinished = false;
+    int requestSubscription = 0;
     std::shared_ptr<Flow> reply;
-    std::uint64_t passed = 0;  // of the reply's bytes: its stream's window was freed for
+    std::uint64_t replyWindowFreed = 0;  // bytes of the reply for which the stream's window was reopened
     std::optional<grpc::MessageFrameParser> messages;
   };
   struct Channel {
     std::string server;
     Address address;
     Handle self;
-    bool up = false, blocked = false, leaving = false;
-    std::int64_t upAtMs = 0;
+    bool connected = false, writeBlocked = false, draining = false;
+    std::int64_t connectedAtMs = 0;  // Unix time
     std::unique_ptr<http2::Session> session;
     std::unordered_map<std::int32_t, Stream> streams;
-    std::vector<std::int32_t> dirty;  // something of theirs is to be moved on
-    std::vector<Call> waiting;        // until it has come up
-    std::optional<Agenda<Due>::Key> deadline, alive;
-    Micros heardAt = 0;
+    std::vector<std::int32_t> dirty;  // streams whose request or reply has changed
+    std::vector<Call> waiting;        // calls that wait until it is connected
+    std::optional<Agenda<Timer>::Key> connectionTimer, keepaliveTimer;
+    Micros lastReceivedAt = 0;
   };
   struct Server {
     LeafEntry entry;
     std::vector<Handle> channels;
   };
-  struct Place {
-    Handle link;
-    std::int32_t stream = 0;  // 0: it waits
+  struct AttemptLocation {
+    Handle connection;
+    std::int32_t stream = 0;  // 0: the call waits for the connection
   };
 
-  Channel* pick(Server& server);
-  bool room(const Channel& c) const;
-  void begin(Channel& c, Call call);
-  void pump(Channel& c, std::int32_t id);  // the request's next bytes, and what the reply's reader has taken
-  void handle(Channel& c, http2::Session::Event& event);
-  void headers(Channel& c, std::int32_t id, Fields fields, bool end);
-  void answered(Channel& c, std::int32_t id, Fields trailers);
-  void closed(Channel& c, std::int32_t id, grpc::AttemptResult verdict);
-  void conclude(Stream& s, grpc::AttemptResult verdict);
-  void counts(Stream& s, Outcome outcome);  // its attempt is over, with what there is of an answer
-  void mark(Handle link, std::int32_t id);
-  void watch(Channel& c);
-  void lost(Channel& c, const char* why, bool expected);
-  void drop(const std::string& server);
-  void settle(Channel& c);  // events of the session, then whether it is needed any longer
-  void end(Handle attempt, Outcome outcome, LeafAnswer answer = {});
-  void release(Stream& s);
+  // The connection with the fewest streams, or a new one; null if none can take another stream.
+  Channel* pickChannel(Server& server);
+  bool hasFreeStream(const Channel& c) const;
+  void beginCall(Channel& c, Call call);
+  // Passes on the request's next bytes, and reopens the reply's window by what its reader has consumed.
+  void pumpStream(Channel& c, std::int32_t id);
+  void handleEvent(Channel& c, http2::Session::Event& event);
+  void onHeaders(Channel& c, std::int32_t id, Fields fields, bool end);
+  void onTrailers(Channel& c, std::int32_t id, Fields trailers);
+  // The stream has ended without the answer's trailers.
+  void onStreamClosed(Channel& c, std::int32_t id, grpc::AttemptResult result);
+  // Ends the stream's reply with a status of this side's own, and its attempt.
+  void endWithStatus(Stream& s, grpc::AttemptResult result);
+  // Ends the stream's attempt, unless it has ended, with the reply received so far.
+  void endAttempt(Stream& s, Outcome outcome);
+  void markDirty(Handle connection, std::int32_t id);
+  // Sets the idle and keepalive timers according to whether the connection has streams.
+  void updateTimers(Channel& c);
+  // Closes the connection and ends everything on it. The only place that does so.
+  void closeChannel(Channel& c, const char* reason, bool expected);
+  // Forgets a server that was removed from the list and has no connections left.
+  void eraseIfRemoved(const std::string& server);
+  // Handles the session's events and the changed streams, then closes the channel if it is no longer needed.
+  void processEvents(Channel& c);
+  // Reports the end of an attempt to the core.
+  void reportEnded(Handle attempt, Outcome outcome, LeafAnswer answer = {});
+  void unsubscribe(Stream& s);
   void count(Count what) { counters_->add(what); }
 
   ChannelLimits limits_;
   Counters* counters_;
   std::map<std::string, Server> servers_;
   Table<Channel> channels_;
-  Agenda<Due> agenda_;
-  std::unordered_map<std::uint64_t, Place> places_;  // attempt -> where it is
+  Agenda<Timer> timers_;
+  std::unordered_map<std::uint64_t, AttemptLocation> attempts_;  // by number(attempt)
 };
 
 }  // namespace cometdeal::net
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -100,7 +100,7 @@
     limits.metadataMost = config.metadataMost;
     limits.streamWindow = config.streamWindow;
     limits.keepalive = 300 * ms;
-    limits.pongTime = 300 * ms;
+    limits.pingTimeout = 300 * ms;
     auto machine = std::make_unique<Channels>(limits, &counters);
     channels = machine.get();
     side = std::make_unique<LeafSockets>(loop, std::move(machine));
