--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -1,6 +1,6 @@
 // gRPC through the mixer, on loopback, in one process: stand-in clients -> front -> core -> leaf side ->
-// stand-in leaf servers. Plain asserts. Nothing is timed but by deadlines that the calls themselves carry;
-// what is expected may take up to kPatience.
+// stand-in leaf servers. Checks are plain asserts. Events may take up to kMaxWait; only the calls' own
+// deadlines are checked as times.
 #undef NDEBUG
 #include <algorithm>
 #include <cassert>
@@ -31,9 +31,10 @@
 
 namespace {
 
-constexpr Micros ms = 1000, kPatience = 20'000 * ms;
-// A slow machine may take so long over what is sent in time; the soak counts what is late to the microsecond.
-constexpr Micros kSlack = 1'000 * ms;
+constexpr Micros ms = 1000, kMaxWait = 20'000 * ms;
+// How late an outcome may arrive on a slow machine although it was sent in time. The soak test also counts
+// the outcomes that are late at all.
+constexpr Micros kTimingTolerance = 1'000 * ms;
 
 Settings settings() {
   Settings out;
@@ -77,18 +78,19 @@
   - {method: /t.S/Short, class: safe, kind: unary, deadline: 300ms}
 )";
 
-// The mixer, with so many stand-in leaf servers.
-struct Rig {
+// A mixer with stand-in leaf servers, all on one event loop.
+struct MixerRig {
   Loop loop;
   Counters counters;
   grpc::Config config;
   std::vector<std::unique_ptr<GrpcLeaf>> leaves;
   Channels* channels;
-  std::unique_ptr<LeafSockets> side;
+  std::unique_ptr<LeafSockets> leafSide;
   std::unique_ptr<Mixer> mixer;
   std::unique_ptr<GrpcServer> server;
 
-  explicit Rig(int number, const std::function<void(Settings&)>& change = {}, http2::Limits leafLimits = {}) {
+  explicit MixerRig(int leafCount, const std::function<void(Settings&)>& change = {},
+                    http2::Limits leafLimits = {}) {
     const HostSettings host = hostSettings();
     Settings set = settings();
     if (change) change(set);
@@ -103,10 +105,10 @@
     limits.pingTimeout = 300 * ms;
     auto machine = std::make_unique<Channels>(limits, &counters);
     channels = machine.get();
-    side = std::make_unique<LeafSockets>(loop, std::move(machine));
-    mixer = std::make_unique<Mixer>(loop, counters, *side, set, host, 7);
-    for (int k = 0; k < number; ++k) leaves.push_back(std::make_unique<GrpcLeaf>(loop, leafLimits));
-    list();
+    leafSide = std::make_unique<LeafSockets>(loop, std::move(machine));
+    mixer = std::make_unique<Mixer>(loop, counters, *leafSide, set, host, 7);
+    for (int k = 0; k < leafCount; ++k) leaves.push_back(std::make_unique<GrpcLeaf>(loop, leafLimits));
+    sendFullList();
     server = std::make_unique<GrpcServer>(loop, counters, *mixer, config, host.classKeyed, host.shards);
     server->listen();
   }
@@ -117,33 +119,36 @@
     out.state = state;
     return out;
   }
-  void list() {
+  void sendFullList() {
     LeafList list;
     list.whole = true;
     for (int k = 0; k < int(leaves.size()); ++k) list.entries.push_back(entry(k));
     mixer->list(list, ListKind::complete);
   }
-  void tell(int k, ServerState state) {
+  // Reports a change of one leaf server's state to the mixer.
+  void setState(int k, ServerState state) {
     LeafList list;
     list.entries.push_back(entry(k, state));
     mixer->list(list, ListKind::changes);
   }
-  bool until(const std::function<bool()>& good, Micros patience = kPatience) {
-    const Micros end = loop.now() + patience;
-    while (!good()) {
+  // Runs the loop until the condition holds. Returns false if it does not within maxWait.
+  bool waitUntil(const std::function<bool()>& condition, Micros maxWait = kMaxWait) {
+    const Micros end = loop.now() + maxWait;
+    while (!condition()) {
       if (loop.now() > end) return false;
       loop.io.run_for(std::chrono::milliseconds(2));
       loop.io.restart();
     }
     return true;
   }
-  void pass(Micros span) {
-    until([] { return false; }, span);
+  void runFor(Micros span) {
+    waitUntil([] { return false; }, span);
   }
-  bool over(const Held& r) {
-    return until([&] { return r->over; });
+  bool waitForEnd(const Held& r) {
+    return waitUntil([&] { return r->over; });
   }
-  int ran(const std::string& call) const {
+  // How many times the leaf servers have run the call with this id, in total.
+  int timesRun(const std::string& call) const {
     int out = 0;
     for (const auto& leaf : leaves) out += leaf->ran(call);
     return out;
@@ -153,14 +158,15 @@
     for (const auto& leaf : leaves) out += leaf->streams();
     return out;
   }
-  // Nothing is left behind: no call, no attempt, no stream, no byte.
-  void quiet() {
-    const bool good = until([&] {
+  // Checks that no call, attempt, stream or buffered byte is left.
+  void checkNothingLeft() {
+    const bool good = waitUntil([&] {
       return server->openCalls() == 0 && mixer->open() == 0 && channels->attempts() == 0 &&
              channels->streams() == 0 && leafStreams() == 0 && server->bufferedBytes() == 0;
     });
     if (!good)
-      std::fprintf(stderr, "left: calls %zu open %zu attempts %zu streams %zu leaf streams %zu bytes %zu\n",
+      std::fprintf(stderr,
+                   "still open: calls %zu open %zu attempts %zu streams %zu leaf streams %zu bytes %zu\n",
                    server->openCalls(), mixer->open(), channels->attempts(), channels->streams(),
                    leafStreams(), server->bufferedBytes());
     assert(good);
@@ -168,9 +174,11 @@
   }
 };
 
+// Metadata of a call that the stand-in leaf server handles by `steps`, see standin/grpc_leaf.hpp.
 http2::Fields script(const std::string& id, const std::string& steps, const std::string& timeout = "4S") {
   return {{"call", id}, {"script", steps}, {"grpc-timeout", timeout}};
 }
+// An assert that prints the call's result first if it fails.
 #define CHECK_CALL(condition, r)                                                                  \
   do {                                                                                            \
     if (!(condition))                                                                             \
@@ -179,8 +187,8 @@
     assert(condition);                                                                            \
   } while (false)
 
-// ---- Words ----
-void testWords() {
+// ---- The protocol's texts, framing and outcomes ----
+void testProtocol() {
   using namespace grpc;
   assert(parseTimeout("1S") == 1'000'000 && parseTimeout("250m") == 250'000 && parseTimeout("7u") == 7);
   assert(parseTimeout("2H") == 7'200'000'000 && parseTimeout("3M") == 180'000'000 &&
@@ -204,7 +212,7 @@
   assert(MessageFrameParser(10, false).feed("\2") == MessageFrameParser::State::invalidFlag);
   assert(MessageFrameParser(10, false).feed("\1") == MessageFrameParser::State::unexpectedCompression);
   assert(MessageFrameParser(10, true).feed(message("x", true)) == MessageFrameParser::State::good);
-  // What proves that nothing ran, and only that.
+  // Only these ends of an attempt prove that the call has not run.
   assert(resultOfReset(http2::Code::refusedStream).outcome == Outcome::busy &&
          resultOfHttpStatus(503).outcome == Outcome::busy);
   assert(resultOfConnectionLoss(false).outcome == Outcome::connectFailed &&
@@ -227,33 +235,35 @@
   };
   const std::string head = "listen: 127.0.0.1:9090\nroutes:\n  - ";
   assert(problem(head + "{method: /a.B/C, class: safe, kind: unary}").empty());
-  const auto tells = [&](const std::string& text, const std::string& where, const std::string& what) {
-    const std::string told = problem(text);
-    if (told.find(where) != 0 || told.find(what) == std::string::npos)
-      std::fprintf(stderr, "told: %s\n", told.c_str());
-    assert(told.find(where) == 0 && told.find(what) != std::string::npos);
+  const auto expectError = [&](const std::string& text, const std::string& where, const std::string& what) {
+    const std::string error = problem(text);
+    if (error.find(where) != 0 || error.find(what) == std::string::npos)
+      std::fprintf(stderr, "error: %s\n", error.c_str());
+    assert(error.find(where) == 0 && error.find(what) != std::string::npos);
   };
-  tells(head + "{method: /a.B/C, class: safe, kind: unry}", "f.yaml:3:41: routes[0].kind",
-        "expected one of unary");
-  tells(head + "{method: /a.B/C, class: none, kind: unary}", "f.yaml:3:29: routes[0].class",
-        "(safe, keyed, unsafe)");
-  tells(head + "{method: /a.B/C, class: safe, kind: unary, kye: x}", "f.yaml:3:48: routes[0]",
-        "unknown key 'kye'");
-  tells(head + "{method: a.B/C, class: safe, kind: unary}", "f.yaml:3:14: routes[0].method",
-        "/package.Service/Method");
-  tells(head + "{class: safe, kind: unary}", "f.yaml:3:5: routes[0]", "'method' is missing");
-  tells(head + "{method: /a.B/C, class: keyed, kind: unary}", "f.yaml:3:5: routes[0]", "idempotency_key");
-  tells(head + "{method: /a.B/C, class: safe, kind: unary, key: A}", "f.yaml:3:53",
-        "name of a metadata entry");
-  tells(head + "{method: /a.B/C, class: safe, kind: unary, deadline: 5}", "f.yaml:3:58", "a time such as");
-  tells(head + "{method: /a.B/C, class: safe, class: safe, kind: unary}", "f.yaml:3:35",
-        "'class' stands twice");
-  tells("listen: here\nroutes: []", "f.yaml:1:9: listen", "an address and a port");
-  tells("listen: 127.0.0.1:1\nroutes: []", "f.yaml:2:9: routes", "at least one");
-  tells("listen: 127.0.0.1:1\nlimits: {connections: many}\nroutes: []", "f.yaml:2:23: limits.connections",
-        "a whole number");
-  tells("listen: [", "f.yaml:", "no YAML");
-  tells("routes: []", "f.yaml:1:1", "'listen' is missing");
+  expectError(head + "{method: /a.B/C, class: safe, kind: unry}", "f.yaml:3:41: routes[0].kind",
+              "expected one of unary");
+  expectError(head + "{method: /a.B/C, class: none, kind: unary}", "f.yaml:3:29: routes[0].class",
+              "(safe, keyed, unsafe)");
+  expectError(head + "{method: /a.B/C, class: safe, kind: unary, kye: x}", "f.yaml:3:48: routes[0]",
+              "unknown key 'kye'");
+  expectError(head + "{method: a.B/C, class: safe, kind: unary}", "f.yaml:3:14: routes[0].method",
+              "/package.Service/Method");
+  expectError(head + "{class: safe, kind: unary}", "f.yaml:3:5: routes[0]", "'method' is missing");
+  expectError(head + "{method: /a.B/C, class: keyed, kind: unary}", "f.yaml:3:5: routes[0]",
+              "idempotency_key");
+  expectError(head + "{method: /a.B/C, class: safe, kind: unary, key: A}", "f.yaml:3:53",
+              "name of a metadata entry");
+  expectError(head + "{method: /a.B/C, class: safe, kind: unary, deadline: 5}", "f.yaml:3:58",
+              "a time such as");
+  expectError(head + "{method: /a.B/C, class: safe, class: safe, kind: unary}", "f.yaml:3:35",
+              "'class' stands twice");
+  expectError("listen: here\nroutes: []", "f.yaml:1:9: listen", "an address and a port");
+  expectError("listen: 127.0.0.1:1\nroutes: []", "f.yaml:2:9: routes", "at least one");
+  expectError("listen: 127.0.0.1:1\nlimits: {connections: many}\nroutes: []",
+              "f.yaml:2:23: limits.connections", "a whole number");
+  expectError("listen: [", "f.yaml:", "no YAML");
+  expectError("routes: []", "f.yaml:1:1", "'listen' is missing");
   const grpc::Config config = grpc::readConfig(
       head + "{method: /a.B/*, class: safe, kind: unary}\n  - {method: /a.B/C, class: unsafe, kind: unary}",
       "f", classes, set.classes);
@@ -263,16 +273,16 @@
 
 // ---- Calls ----
 void testUnary() {
-  Rig rig(3);
+  MixerRig rig(3);
   GrpcClient client(rig.loop, rig.server->port());
   Held r = client.call(
       "/t.S/Unary",
       {{"call", "u"}, {"script", "read message=5 status=0"}, {"x-own", "kept"}, {"grpc-timeout", "2S"}},
       message("hello"));
-  assert(rig.over(r));
+  assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 1 && r->messages[0] == "mmmmm" && r->http == 200, r);
   assert(r->trailer("leaf-trailer") == "t" && http2::find(r->head, "leaf-port"));
-  assert(rig.ran("u") == 1);
+  assert(rig.timesRun("u") == 1);
   for (const auto& leaf : rig.leaves)
     for (const auto& seen : leaf->seen()) {
       assert(seen.messages.size() == 1 && seen.messages[0] == "hello" && seen.path == "/t.S/Unary");
@@ -280,39 +290,40 @@
       const auto left = grpc::parseTimeout(seen.timeout);
       assert(left && *left <= 2'000 * ms && *left > 1'000 * ms);
     }
-  // No time given: the route's own.
+  // Without a grpc-timeout the route's deadline applies.
   r = client.call("/t.S/Short", {{"call", "s"}, {"script", "stall"}}, message("x"));
-  assert(rig.over(r));
-  CHECK_CALL(r->status == 4 && r->overAt - r->beganAt < 300 * ms + kSlack, r);
-  rig.quiet();
+  assert(rig.waitForEnd(r));
+  CHECK_CALL(r->status == 4 && r->overAt - r->beganAt < 300 * ms + kTimingTolerance, r);
+  rig.checkNothingLeft();
 }
 
-// Each status of a leaf server's comes to exactly one outcome; what another server might do better is tried
-// there where the class allows it, what is the caller's own passes.
+// Each status of a leaf server gives the client exactly that status, once. A status caused by the server is
+// retried on another server where the class allows it; a status caused by the caller is passed on at once.
 void testStatuses() {
-  Rig rig(3);
+  MixerRig rig(3);
   GrpcClient client(rig.loop, rig.server->port());
   for (int status = 0; status <= 16; ++status)
     for (const char* form : {"read ", "read message=3 "}) {
       const std::string id = std::string(form) + std::to_string(status);
       Held r =
           client.call("/t.S/Unary", script(id, form + ("status=" + std::to_string(status))), message("x"));
-      assert(rig.over(r));
+      assert(rig.waitForEnd(r));
       CHECK_CALL(r->status == status && r->outcomes == 1, r);
       const bool passes = grpc::resultOfStatus(grpc::Status(status)).outcome == Outcome::done;
-      assert(passes ? rig.ran(id) == 1 : rig.ran(id) >= 2 && rig.ran(id) <= 3);
+      assert(passes ? rig.timesRun(id) == 1 : rig.timesRun(id) >= 2 && rig.timesRun(id) <= 3);
       const std::string once = "once " + id;
       r = client.call("/t.S/Unsafe", script(once, form + ("status=" + std::to_string(status))), message("x"));
-      assert(rig.over(r));
-      CHECK_CALL(r->status == status && rig.ran(once) == 1, r);
+      assert(rig.waitForEnd(r));
+      CHECK_CALL(r->status == status && rig.timesRun(once) == 1, r);
     }
-  rig.quiet();
+  rig.checkNothingLeft();
 }
 
 void testFailuresBeforeTheAnswer() {
-  Rig rig(3);
+  MixerRig rig(3);
   GrpcClient client(rig.loop, rig.server->port());
-  // What certainly did not run goes elsewhere, whatever its class; the second attempt says that it is one.
+  // A call that has certainly not run is sent to another server, whatever its class. script-0 applies to the
+  // first attempt, so success shows that the second carries grpc-previous-rpc-attempts.
   for (const char* first : {"refuse", "goaway", "http=503"})
     for (const char* path : {"/t.S/Unary", "/t.S/Unsafe", "/t.S/Once"}) {
       const std::string id = std::string(first) + path;
@@ -320,177 +331,180 @@
           path,
           {{"call", id}, {"script-0", first}, {"script", "read message=1 status=0"}, {"grpc-timeout", "4S"}},
           message("x"));
-      assert(rig.over(r));
+      assert(rig.waitForEnd(r));
       CHECK_CALL(r->status == 0 && r->messages.size() == 1, r);
     }
-  // What may have run does so only where that is harmless.
+  // A call that may have run is sent again only if its class and route allow it.
   for (const char* first : {"read reset=2", "read cut", "read cut-reset", "read nostatus",
                             "read flag status=0", "read http=500", "read message=1 reset=8", "huge stall"}) {
     const std::string id = first;
     const http2::Fields fields{
         {"call", id}, {"script-0", first}, {"script", "read message=1 status=0"}, {"grpc-timeout", "4S"}};
     Held r = client.call("/t.S/Unary", fields, message("x"));
-    assert(rig.over(r));
-    CHECK_CALL(r->status == 0 && r->messages.size() == 1 && rig.ran(id) == 2, r);
+    assert(rig.waitForEnd(r));
+    CHECK_CALL(r->status == 0 && r->messages.size() == 1 && rig.timesRun(id) == 2, r);
     for (const char* path : {"/t.S/Unsafe", "/t.S/Once"}) {
       const std::string once = id + path;
       http2::Fields other = fields;
       other[0].second = once;
       r = client.call(path, other, message("x"));
-      assert(rig.over(r));
-      CHECK_CALL(r->status > 0 && rig.ran(once) == 1 && r->outcomes == 1, r);
+      assert(rig.waitForEnd(r));
+      CHECK_CALL(r->status > 0 && rig.timesRun(once) == 1 && r->outcomes == 1, r);
       assert(r->trailer("cometdeal-may-have-run") == "1" && r->trailer("grpc-retry-pushback-ms") == "-1");
     }
   }
-  rig.quiet();
+  rig.checkNothingLeft();
 }
 
 void testKeyed() {
-  Rig rig(3);
+  MixerRig rig(3);
   GrpcClient client(rig.loop, rig.server->port());
   Held r = client.call("/t.S/Keyed", script("no key", "read status=0"), message("x"));
-  assert(rig.over(r));
+  assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 3 && r->text.find("idem") != std::string::npos, r);
   http2::Fields fields = script("k", "read reset=2");
   fields.emplace_back("idem", "abc");
   r = client.call("/t.S/Keyed", fields, message("x"));
-  assert(rig.over(r));
-  CHECK_CALL(r->status == 13 && rig.ran("k") >= 2 && rig.ran("k") <= 3, r);
-  rig.quiet();
+  assert(rig.waitForEnd(r));
+  CHECK_CALL(r->status == 13 && rig.timesRun("k") >= 2 && rig.timesRun("k") <= 3, r);
+  rig.checkNothingLeft();
 }
 
 void testDeadlines() {
-  Rig rig(2);
+  MixerRig rig(2);
   GrpcClient client(rig.loop, rig.server->port());
   for (const char* steps : {"stall", "headers stall", "read message=2 stall"})
     for (const char* path : {"/t.S/Unary", "/t.S/Unsafe", "/t.S/Down"}) {
       Held r = client.call(path, script(std::string(steps) + path, steps, "400m"), message("x"));
-      assert(rig.over(r));
-      CHECK_CALL(
-          r->status == 4 && r->outcomes == 1 && !r->reset && r->overAt - r->beganAt <= 400 * ms + kSlack, r);
+      assert(rig.waitForEnd(r));
+      CHECK_CALL(r->status == 4 && r->outcomes == 1 && !r->reset &&
+                     r->overAt - r->beganAt <= 400 * ms + kTimingTolerance,
+                 r);
     }
-  // Over before it began.
+  // A deadline that has passed before the call starts.
   Held r = client.call("/t.S/Unary", script("short", "read status=0", "1m"), message("x"));
-  assert(rig.over(r));
+  assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 4, r);
   // A request that never ends.
   r = client.call("/t.S/Unary", script("endless", "read status=0", "200m"), message("x"), false);
-  assert(rig.over(r));
-  CHECK_CALL(r->status == 4 && r->trailer("cometdeal-may-have-run") == "0" && rig.ran("endless") == 0, r);
+  assert(rig.waitForEnd(r));
+  CHECK_CALL(r->status == 4 && r->trailer("cometdeal-may-have-run") == "0" && rig.timesRun("endless") == 0,
+             r);
   for (const char* bad : {"5", "S", "1x", "123456789S"}) {
     r = client.call("/t.S/Unary", script("bad", "read status=0", bad), message("x"));
-    assert(rig.over(r));
-    CHECK_CALL(r->status == 3 && r->text.find("grpc-timeout") != std::string::npos && rig.ran("bad") == 0, r);
+    assert(rig.waitForEnd(r));
+    CHECK_CALL(
+        r->status == 3 && r->text.find("grpc-timeout") != std::string::npos && rig.timesRun("bad") == 0, r);
   }
-  rig.quiet();
+  rig.checkNothingLeft();
 }
 
 void testStreams() {
-  Rig rig(2);
+  MixerRig rig(2);
   GrpcClient client(rig.loop, rig.server->port());
   Held r =
       client.call("/t.S/Down", script("d", "read message=1 message=2 message=70000 status=0"), message("x"));
-  assert(rig.over(r));
+  assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 3 && r->messages[2].size() == 70000, r);
-  // An error in the trailers after data: once, with that status; never again elsewhere.
+  // An error in the trailers after data is passed on with its status and is not retried.
   r = client.call("/t.S/Down", script("e", "read message=1 message=2 status=14"), message("x"));
-  assert(rig.over(r));
-  CHECK_CALL(
-      r->status == 14 && r->messages.size() == 2 && rig.ran("e") == 1 && r->trailer("leaf-trailer") == "t",
-      r);
+  assert(rig.waitForEnd(r));
+  CHECK_CALL(r->status == 14 && r->messages.size() == 2 && rig.timesRun("e") == 1 &&
+                 r->trailer("leaf-trailer") == "t",
+             r);
   for (const char* broken : {"read message=1 wait=20 reset=2", "read message=1 wait=20 cut",
                              "read message=1 wait=20 cut-reset", "read message=1 nostatus"}) {
     r = client.call("/t.S/Down", script(broken, broken), message("x"));
-    assert(rig.over(r));
-    CHECK_CALL(r->status > 0 && r->outcomes == 1 && rig.ran(broken) == 1, r);
+    assert(rig.waitForEnd(r));
+    CHECK_CALL(r->status > 0 && r->outcomes == 1 && rig.timesRun(broken) == 1, r);
   }
-  // Before its first fields a stream is a call like any other.
+  // A streamed call that fails before the header fields of its answer is retried like any other.
   r = client.call("/t.S/Down",
                   {{"call", "f"},
                    {"script-0", "read reset=2"},
                    {"script", "read message=1 status=0"},
                    {"grpc-timeout", "4S"}},
                   message("x"));
-  assert(rig.over(r));
-  CHECK_CALL(r->status == 0 && r->messages.size() == 1 && rig.ran("f") == 2, r);
-  // Client streaming, said in pieces.
+  assert(rig.waitForEnd(r));
+  CHECK_CALL(r->status == 0 && r->messages.size() == 1 && rig.timesRun("f") == 2, r);
+  // Client streaming, with a message split over several writes.
   r = client.call("/t.S/Up", script("c", "read message=4 status=0"), message("a"), false);
-  rig.pass(20 * ms);
+  rig.runFor(20 * ms);
   client.say(r, message("bb") + message("ccc").substr(0, 4));
-  rig.pass(20 * ms);
+  rig.runFor(20 * ms);
   client.say(r, message("ccc").substr(4));
   client.end(r);
-  assert(rig.over(r));
+  assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 1, r);
-  // The server ends it before the client has.
+  // The server ends the call before the client has finished its request.
   r = client.call("/t.S/Up", script("early", "message=4 status=0"), message("a"), false);
-  assert(rig.over(r));
+  assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 1, r);
-  // Both ways.
+  // Bidirectional streaming.
   r = client.call("/t.S/Both", script("b", "echo status=0"), "", false);
   for (int k = 1; k <= 5; ++k) {
     client.say(r, message(std::string(std::size_t(k), 'p')));
-    assert(rig.until([&] { return int(r->messages.size()) == k; }));
+    assert(rig.waitUntil([&] { return int(r->messages.size()) == k; }));
     assert(r->messages.back().size() == std::size_t(k) && !r->over);
   }
   client.end(r);
-  assert(rig.over(r));
+  assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 5, r);
-  rig.quiet();
+  rig.checkNothingLeft();
 }
 
-// A client that goes frees its work at the leaf server, at every stage.
+// A client's cancel, at any stage of the call, stops the work at the leaf server.
 void testCancel() {
-  Rig rig(2);
+  MixerRig rig(2);
   GrpcClient client(rig.loop, rig.server->port());
   for (const char* steps : {"stall", "headers stall", "message=1 stall", "read stall"})
     for (const char* path : {"/t.S/Unary", "/t.S/Down", "/t.S/Both", "/t.S/Up"}) {
       const std::string id = std::string(steps) + path;
       Held r = client.call(path, script(id, steps), message("x"), std::string(path) != "/t.S/Both");
-      assert(rig.until([&] { return rig.ran(id) == 1; }));
+      assert(rig.waitUntil([&] { return rig.timesRun(id) == 1; }));
       client.cancel(r);
-      assert(rig.until([&] { return rig.leafStreams() == 0; }));
+      assert(rig.waitUntil([&] { return rig.leafStreams() == 0; }));
     }
-  // So does one whose connection breaks.
+  // So does the loss of the client's connection.
   auto other = std::make_unique<GrpcClient>(rig.loop, rig.server->port());
   other->call("/t.S/Down", script("gone", "message=1 stall"), message("x"));
-  assert(rig.until([&] { return rig.ran("gone") == 1; }));
+  assert(rig.waitUntil([&] { return rig.timesRun("gone") == 1; }));
   other.reset();
-  rig.quiet();
+  rig.checkNothingLeft();
   assert(rig.counters.of(Count::clientsGone) >= 17);
 }
 
-// A client that does not read bounds what is held, and holds up nobody else.
+// A client that does not read: the mixer buffers a bounded amount for it, and other clients are not delayed.
 void testBackpressure() {
-  Rig rig(1);
+  MixerRig rig(1);
   GrpcClient slow(rig.loop, rig.server->port()), other(rig.loop, rig.server->port());
   slow.hold();
   std::string many = "read";
   for (int k = 0; k < 60; ++k) many += " message=50000";
   Held r = slow.call("/t.S/Down", script("slow", many + " status=0"), message("x"));
-  assert(rig.until([&] { return r->bytes > 60'000; }));
-  rig.pass(100 * ms);
+  assert(rig.waitUntil([&] { return r->bytes > 60'000; }));
+  rig.runFor(100 * ms);
   const std::size_t held = rig.server->bufferedBytes();
   if (held > 3 * 65536) std::fprintf(stderr, "held %zu\n", held);
   assert(held <= 3 * 65536 && !r->over);
   Held quick = other.call("/t.S/Unary", script("quick", "read message=1 status=0"), message("x"));
-  assert(rig.over(quick));
+  assert(rig.waitForEnd(quick));
   CHECK_CALL(quick->status == 0, quick);
   slow.release();
-  assert(rig.over(r));
+  assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 60, r);
-  // The other way: a leaf server that reads nothing bounds what its client may say.
+  // The reverse: a leaf server that does not read stops its client from sending more.
   Held up = other.call("/t.S/Both", script("up", "deaf stall"), "", false);
   for (int k = 0; k < 40; ++k) other.say(up, message(std::string(50'000, 'u')));
-  rig.pass(100 * ms);
+  rig.runFor(100 * ms);
   assert(rig.server->bufferedBytes() < 50'000 + 65536 + 50'000 &&
          other.peer().session.buffered(up->stream) > 1'000'000);
   other.cancel(up);
-  rig.quiet();
+  rig.checkNothingLeft();
 }
 
 void testDrains() {
-  Rig rig(2);
+  MixerRig rig(2);
   GrpcClient client(rig.loop, rig.server->port());
   std::vector<Held> open;
   for (int k = 0; k < 8; ++k)
@@ -498,52 +512,53 @@
         "/t.S/Both",
         {{"call", "o" + std::to_string(k)}, {"script", "echo status=0"}, {"about", std::to_string(k)}},
         message("x"), false));
-  assert(rig.until(
+  assert(rig.waitUntil(
       [&] { return std::ranges::all_of(open, [](const Held& r) { return r->messages.size() == 1; }); }));
-  rig.tell(0, ServerState::draining);
+  rig.setState(0, ServerState::draining);
   const std::uint64_t before = rig.leaves[0]->begun;
   for (int k = 0; k < 30; ++k) {
     Held r = client.call("/t.S/Unary", script("n" + std::to_string(k), "read status=0"), message("x"));
-    assert(rig.over(r));
+    assert(rig.waitForEnd(r));
     CHECK_CALL(r->status == 0, r);
   }
-  assert(rig.leaves[0]->begun == before);  // no new stream
-  for (const Held& r : open) {             // what was open finishes
+  assert(rig.leaves[0]->begun == before);  // no new streams
+  for (const Held& r : open) {             // open streams finish
     client.say(r, message("y"));
     client.end(r);
-    assert(rig.over(r));
+    assert(rig.waitForEnd(r));
     CHECK_CALL(r->status == 0 && r->messages.size() == 2, r);
   }
-  assert(rig.until([&] { return rig.leaves[0]->connections() == 0; }));
-  rig.quiet();
+  assert(rig.waitUntil([&] { return rig.leaves[0]->connections() == 0; }));
+  rig.checkNothingLeft();
 }
 
-// The mixer's own end: GOAWAY twice, what is open finishes, what comes later is not looked at.
+// Graceful shutdown of the mixer: two GOAWAY frames, the second with the last stream that is processed. The
+// open call finishes, then the connection is closed.
 void testStop() {
-  Rig rig(1);
+  MixerRig rig(1);
   GrpcClient client(rig.loop, rig.server->port());
   Held r = client.call("/t.S/Both", script("b", "echo status=0"), message("x"), false);
-  assert(rig.until([&] { return r->messages.size() == 1; }));
+  assert(rig.waitUntil([&] { return r->messages.size() == 1; }));
   rig.server->drain(rig.loop.now() + 3'000 * ms);
-  assert(rig.until([&] { return client.goaways == 1; }));
+  assert(rig.waitUntil([&] { return client.goaways == 1; }));
   assert(client.goawayLast == INT32_MAX);
-  assert(rig.until([&] { return client.goaways == 2; }));
+  assert(rig.waitUntil([&] { return client.goaways == 2; }));
   assert(client.goawayLast == r->stream);
   client.say(r, message("y"));
   client.end(r);
-  assert(rig.over(r));
+  assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 2, r);
-  assert(rig.until([&] { return client.closed(); }));
-  rig.quiet();
+  assert(rig.waitUntil([&] { return client.closed(); }));
+  rig.checkNothingLeft();
 }
 
 void testBadInput() {
-  Rig rig(1);
+  MixerRig rig(1);
   GrpcClient good(rig.loop, rig.server->port());
   const auto answered = [&](GrpcClient& client, const std::string& path, http2::Fields fields,
                             const std::string& body, int status, const char* text) {
     Held r = client.call(path, std::move(fields), body);
-    assert(rig.over(r));
+    assert(rig.waitForEnd(r));
     CHECK_CALL(r->status == status && r->text.find(text) != std::string::npos && r->outcomes == 1, r);
   };
   answered(good, "/t.S/None", {}, message("x"), 12, "unknown method");
@@ -559,7 +574,7 @@
   std::string many;
   for (int k = 0; k < 3; ++k) many += message(std::string(60'000, 'x'));
   answered(good, "/t.S/Unary", {}, many, 12, "more than one message");
-  // Requests that are no gRPC.
+  // Requests that are not gRPC.
   const auto http = [&](http2::Fields fields, int status) {
     const auto id = good.peer().session.open(fields, true);
     assert(id);
@@ -570,7 +585,7 @@
         got = std::atoi(http2::find(h->fields, ":status")->c_str());
     };
     good.peer().flush();
-    assert(rig.until([&] { return got != 0; }));
+    assert(rig.waitUntil([&] { return got != 0; }));
     good.peer().onEvent = before;
     assert(got == status);
   };
@@ -587,15 +602,15 @@
         {"content-type", "text/plain"}},
        415);
   http({{":method", "POST"}, {":scheme", "http"}, {":path", "/t.S/Unary"}, {":authority", "a"}}, 415);
-  // Floods end their connection, with a reason, and nobody else's.
+  // A flood of cheap frames closes the connection that sent it, and no other.
   const auto flood = [&](const std::function<void(GrpcClient&)>& act) {
     GrpcClient bad(rig.loop, rig.server->port());
-    rig.pass(5 * ms);
+    rig.runFor(5 * ms);
     for (int k = 0; k < 2000 && !bad.closed(); ++k) {
       act(bad);
-      if (k % 100 == 99) rig.pass(1 * ms);
+      if (k % 100 == 99) rig.runFor(1 * ms);
     }
-    assert(rig.until([&] { return bad.closed() || bad.goaways > 0; }));
+    assert(rig.waitUntil([&] { return bad.closed() || bad.goaways > 0; }));
     assert(bad.goawayCode == http2::Code::enhanceYourCalm || bad.closed());
   };
   flood([&](GrpcClient& bad) {  // rapid reset
@@ -608,19 +623,19 @@
   });
   const std::string emptySettings("\0\0\0\4\0\0\0\0\0", 9);
   flood([&](GrpcClient& bad) { bad.peer().raw(emptySettings); });
-  {  // empty frames of a body
+  {  // empty DATA frames
     GrpcClient bad(rig.loop, rig.server->port());
     const Held r = bad.call("/t.S/Unary", script("empty", "stall"), message("x"), false);
-    rig.pass(5 * ms);
+    rig.runFor(5 * ms);
     std::string frame("\0\0\0\0\0\0\0\0", 8);
     frame += char(r->stream);
     for (int k = 0; k < 1000 && !bad.closed(); ++k) bad.peer().raw(frame);
-    assert(rig.until([&] { return r->over; }));
+    assert(rig.waitUntil([&] { return r->over; }));
   }
-  {  // no HTTP/2 at all, and one that says nothing
+  {  // a client that does not speak HTTP/2, and one that sends nothing
     GrpcClient bad(rig.loop, rig.server->port());
     bad.peer().raw("GET / HTTP/1.1\r\n\r\n");
-    assert(rig.until([&] { return bad.closed(); }));
+    assert(rig.waitUntil([&] { return bad.closed(); }));
     boost::asio::ip::tcp::socket silent(rig.loop.io);
     silent.connect({boost::asio::ip::address_v4::loopback(), rig.server->port()});
     bool ended = false;
@@ -635,98 +650,98 @@
                              });
     };
     read();
-    assert(rig.until([&] { return ended; }, 5'000 * ms));
+    assert(rig.waitUntil([&] { return ended; }, 5'000 * ms));
   }
   answered(good, "/t.S/Unary", script("still", "read status=0"), message("x"), 0, "");
-  rig.quiet();
+  rig.checkNothingLeft();
 }
 
-// A leaf server that is gone or full, and one that dies without a word.
+// Leaf servers without a free stream, and one that stops without notice.
 void testLeafConnections() {
   http2::Limits few;
   few.streams = 2;
-  Rig rig(2, {}, few);
+  MixerRig rig(2, {}, few);
   GrpcClient client(rig.loop, rig.server->port());
   std::vector<Held> all;
   for (int k = 0; k < 40; ++k)
     all.push_back(client.call(
         "/t.S/Unary", script("f" + std::to_string(k), "read wait=20 message=1 status=0"), message("x")));
-  for (const Held& r : all) assert(rig.over(r) && r->outcomes == 1);
-  // 2 servers of 2 connections with 2 streams each: the rest is turned away or out of time, and none runs
-  // twice.
+  for (const Held& r : all) assert(rig.waitForEnd(r) && r->outcomes == 1);
+  // Two servers, two connections each, two streams on each: the other calls are rejected or exceed their
+  // deadline, and none runs twice.
   int served = 0;
   for (const Held& r : all) {
     served += r->status == 0;
     CHECK_CALL(r->status == 0 || r->status == 14 || r->status == 4, r);
   }
   assert(served >= 8);
-  for (int k = 0; k < 40; ++k) assert(rig.ran("f" + std::to_string(k)) <= 1);
-  // One server goes away for good.
+  for (int k = 0; k < 40; ++k) assert(rig.timesRun("f" + std::to_string(k)) <= 1);
+  // One server stops for good.
   rig.leaves[0]->stopListening();
   rig.leaves[0]->closeAll(true);
   for (int k = 0; k < 10; ++k) {
     Held r = client.call("/t.S/Unsafe", script("g" + std::to_string(k), "read status=0"), message("x"));
-    assert(rig.over(r));
+    assert(rig.waitForEnd(r));
     CHECK_CALL(r->status == 0, r);
   }
-  rig.quiet();
+  rig.checkNothingLeft();
 }
 
-// Mixed calls under injected faults: each has one outcome in time, what must run once does, nothing is left
-// behind.
+// Mixed calls with injected faults: each gets exactly one outcome, in time; a call that must not be repeated
+// runs at most once; nothing is left at the end.
 void testSoak(int number, unsigned seed) {
-  Rig rig(4);
+  MixerRig rig(4);
   for (const auto& leaf : rig.leaves) leaf->keepMessages = leaf->keepSeen = false;
   std::mt19937 random(seed);
   const auto draw = [&](int n) { return int(random() % unsigned(n)); };
-  struct Sort {
+  struct CallKind {
     const char *path, *script;
     int weight;
     bool end;
   };
-  const std::vector<Sort> sorts{{"/t.S/Unary", "read message=100 status=0", 20, true},
-                                {"/t.S/Unary", "read wait=5 message=100 status=0", 20, true},
-                                {"/t.S/Unary", "read status=5", 4, true},
-                                {"/t.S/Unary", "read status=14", 2, true},
-                                {"/t.S/Unary", "read wait=30 reset=2", 1, true},
-                                {"/t.S/Unary", "http=503", 1, true},
-                                {"/t.S/Unary", "stall", 1, true},
-                                {"/t.S/Unsafe", "read message=100 status=0", 20, true},
-                                {"/t.S/Unsafe", "read wait=10 message=100 status=0", 20, true},
-                                {"/t.S/Unsafe", "read status=13", 2, true},
-                                {"/t.S/Unsafe", "refuse", 1, true},
-                                {"/t.S/Unsafe", "goaway", 1, true},
-                                {"/t.S/Unsafe", "read cut", 1, true},
-                                {"/t.S/Once", "read wait=10 message=1 status=0", 10, true},
-                                {"/t.S/Down", "read message=100 message=30000 status=0", 10, true},
-                                {"/t.S/Down", "read message=100 wait=10 status=14", 3, true},
-                                {"/t.S/Down", "read message=100 wait=10 reset=2", 1, true},
-                                {"/t.S/Down", "read message=100 stall", 1, true},
-                                {"/t.S/Up", "read message=10 status=0", 8, true},
-                                {"/t.S/Both", "echo status=0", 8, true},
-                                {"/t.S/Both", "echo status=0", 4, false}};
+  const std::vector<CallKind> callKinds{{"/t.S/Unary", "read message=100 status=0", 20, true},
+                                        {"/t.S/Unary", "read wait=5 message=100 status=0", 20, true},
+                                        {"/t.S/Unary", "read status=5", 4, true},
+                                        {"/t.S/Unary", "read status=14", 2, true},
+                                        {"/t.S/Unary", "read wait=30 reset=2", 1, true},
+                                        {"/t.S/Unary", "http=503", 1, true},
+                                        {"/t.S/Unary", "stall", 1, true},
+                                        {"/t.S/Unsafe", "read message=100 status=0", 20, true},
+                                        {"/t.S/Unsafe", "read wait=10 message=100 status=0", 20, true},
+                                        {"/t.S/Unsafe", "read status=13", 2, true},
+                                        {"/t.S/Unsafe", "refuse", 1, true},
+                                        {"/t.S/Unsafe", "goaway", 1, true},
+                                        {"/t.S/Unsafe", "read cut", 1, true},
+                                        {"/t.S/Once", "read wait=10 message=1 status=0", 10, true},
+                                        {"/t.S/Down", "read message=100 message=30000 status=0", 10, true},
+                                        {"/t.S/Down", "read message=100 wait=10 status=14", 3, true},
+                                        {"/t.S/Down", "read message=100 wait=10 reset=2", 1, true},
+                                        {"/t.S/Down", "read message=100 stall", 1, true},
+                                        {"/t.S/Up", "read message=10 status=0", 8, true},
+                                        {"/t.S/Both", "echo status=0", 8, true},
+                                        {"/t.S/Both", "echo status=0", 4, false}};
   int weights = 0;
-  for (const Sort& sort : sorts) weights += sort.weight;
+  for (const CallKind& sort : callKinds) weights += sort.weight;
   std::vector<std::unique_ptr<GrpcClient>> clients;
   for (int k = 0; k < 4; ++k) clients.push_back(std::make_unique<GrpcClient>(rig.loop, rig.server->port()));
-  struct Made {
+  struct MadeCall {
     Held result;
     std::string id;
     bool once = false, cancelled = false;
     const char* script = "";
   };
-  std::vector<Made> all;
+  std::vector<MadeCall> all;
   std::size_t open = 0;
   for (auto& client : clients) {
     client->keepMessages = false;
     client->onOver = [&](const Held&) { --open; };
   }
-  constexpr std::size_t kOpenMost = 60;
+  constexpr std::size_t kMaxOpenCalls = 60;
   const Micros timeout = 3'000 * ms;
   int drained = -1;
   while (int(all.size()) < number) {
     int pick = draw(weights);
-    const Sort* sort = sorts.data();
+    const CallKind* sort = callKinds.data();
     while (pick >= sort->weight) pick -= (sort++)->weight;
     const std::string id = "c" + std::to_string(all.size());
     http2::Fields fields{
@@ -738,7 +753,7 @@
     ++open;
     const std::string path = sort->path;
     all.push_back({r, id, path == "/t.S/Unsafe" || path == "/t.S/Once", !sort->end, sort->script});
-    // What is left open is cancelled some time later, and of the others a few.
+    // Calls whose request is left open, and a few others, are cancelled some time later.
     if (!sort->end || draw(40) == 0) {
       all.back().cancelled = true;
       rig.loop.deadlines.add(rig.loop.now() + draw(30) * ms, [&client, r] {
@@ -747,71 +762,72 @@
     }
     if (draw(700) == 0) rig.leaves[std::size_t(draw(4))]->closeAll(draw(2) == 0);
     if (draw(500) == 0) {
-      if (drained >= 0) rig.tell(drained, ServerState::serving);
+      if (drained >= 0) rig.setState(drained, ServerState::serving);
       drained = drained >= 0 ? -1 : draw(4);
-      if (drained >= 0) rig.tell(drained, ServerState::draining);
+      if (drained >= 0) rig.setState(drained, ServerState::draining);
     }
-    assert(rig.until([&] { return open < kOpenMost; }));
-    if (draw(4) == 0) rig.pass(2 * ms);
+    assert(rig.waitUntil([&] { return open < kMaxOpenCalls; }));
+    if (draw(4) == 0) rig.runFor(2 * ms);
   }
-  assert(rig.until([&] { return open == 0; }));
+  assert(rig.waitUntil([&] { return open == 0; }));
   std::map<int, int> byStatus;
   int late = 0, tooLate = 0, twice = 0, outcomes = 0;
-  for (const Made& made : all) {
+  for (const MadeCall& made : all) {
     const GrpcClient::Result& r = *made.result;
     outcomes += r.outcomes;
     ++byStatus[r.status];
     late += r.overAt - r.beganAt > timeout;
-    tooLate += r.overAt - r.beganAt > timeout + kSlack;
-    if (made.once && rig.ran(made.id) > 1) {
+    tooLate += r.overAt - r.beganAt > timeout + kTimingTolerance;
+    if (made.once && rig.timesRun(made.id) > 1) {
       ++twice;
-      std::printf("%s ran %d times: %s\n", made.id.c_str(), rig.ran(made.id), made.script);
+      std::printf("%s ran %d times: %s\n", made.id.c_str(), rig.timesRun(made.id), made.script);
     }
     CHECK_CALL(r.outcomes == 1 && (made.cancelled || r.status >= 0), made.result);
   }
-  rig.quiet();
+  rig.checkNothingLeft();
   std::printf(
       "calls %zu, outcomes %d, after their deadline %d, run twice though unsafe %d, open at the end %zu\n",
       all.size(), outcomes, late, twice,
       rig.mixer->open() + rig.server->openCalls() + rig.channels->attempts());
   for (const auto& [status, count] : byStatus)
     std::printf("  %-20s %d\n", status < 0 ? "cancelled by client" : grpc::name(grpc::Status(status)), count);
-  std::printf("sends %lu, copies and retries %lu\n", (unsigned long)rig.counters.of(Count::sends),
+  std::printf("sends %lu, hedges and retries %lu\n", (unsigned long)rig.counters.of(Count::sends),
               (unsigned long)(rig.counters.of(Count::sends) - rig.counters.of(Count::queriesTaken)));
   std::fflush(stdout);
   assert(tooLate == 0 && twice == 0 && outcomes == int(all.size()));
 }
 
-// How long a client's cancel takes to free the leaf server's work: printed, not judged. One process, one
-// thread.
+// Measures the time from a client's cancel to the reset of the leaf server's stream, in one process with one
+// thread. Prints it and checks no bound.
 void measureCancel(int number) {
-  Rig rig(2);
+  MixerRig rig(2);
   GrpcClient client(rig.loop, rig.server->port());
   std::vector<double> times;
   for (int k = 0; k < number; ++k) {
     const std::string id = "t" + std::to_string(k);
     const Held r = client.call(k % 2 ? "/t.S/Down" : "/t.S/Unary",
                                script(id, k % 2 ? "message=1 stall" : "stall"), message("x"));
-    const bool begun = rig.until([&] { return rig.ran(id) >= 1 || r->over; });  // maybe a copy too
+    const bool begun =
+        rig.waitUntil([&] { return rig.timesRun(id) >= 1 || r->over; });  // a hedged attempt may run, too
     CHECK_CALL(begun && !r->over, r);
     const Micros began = rig.loop.now();
     client.cancel(r);
     const GrpcLeaf::Seen* seen = nullptr;
     for (const auto& leaf : rig.leaves)
       if (!leaf->seen().empty() && leaf->seen().back().call == id) seen = &leaf->seen().back();
-    assert(seen && rig.until([&] { return seen->resetAt > 0; }));
+    assert(seen && rig.waitUntil([&] { return seen->resetAt > 0; }));
     times.push_back(double(seen->resetAt - began));
-    if (k % 50 == 49) rig.pass(1'000 * ms);  // as often as the bound on resets allows
+    if (k % 50 == 49) rig.runFor(1'000 * ms);  // stay below the limit on resets (http2::Limits)
   }
   std::ranges::sort(times);
-  std::printf("cancel to the leaf server's reset, %d calls: p50 %.0f us, p99 %.0f us, most %.0f us\n", number,
+  std::printf("cancel to the leaf server's reset, %d calls: p50 %.0f us, p99 %.0f us, max %.0f us\n", number,
               times[times.size() / 2], times[times.size() * 99 / 100], times.back());
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::vector<std::pair<const char*, void (*)()>> tests{{"words", testWords},
+  const std::vector<std::pair<const char*, void (*)()>> tests{{"words", testProtocol},
                                                               {"routes", testRoutes},
                                                               {"unary", testUnary},
                                                               {"statuses", testStatuses},
