--- a/bench/grpc_bench.cpp
+++ b/bench/grpc_bench.cpp
@@ -1,9 +1,10 @@
-// What the mixer adds to gRPC calls: the same client against the same leaf server, directly and through a
-// mixer, in one run. Leaf server, mixer and client are processes of their own, on loopback; all load is a
-// closed loop of so many calls at once, for so long. Prints a table; ratios are what it is for, for machines
-// differ.
+// Measures what the mixer costs gRPC calls: the same client calls the same leaf server directly and through a
+// mixer, in one run. Leaf server, mixer and client are processes of their own on loopback. Each load is a
+// closed loop with a fixed number of concurrent calls and a fixed duration. Prints a table; the ratios are
+// its result, because absolute figures depend on the machine.
 //
-// Then HTTP queries at a steady rate, alone and with gRPC calls in the same mixer.
+// Then measures HTTP queries at a constant rate, alone and together with gRPC calls in the same mixer, and
+// the mixer's memory for each idle connection and each open stream.
 //
 //   cometdeal_grpc_bench [SECONDS of each step]
 #include <sys/resource.h>
@@ -47,8 +48,9 @@
 
 struct Child {
   pid_t pid = 0;
-  std::uint16_t port = 0, second = 0;  // gRPC and frames or HTTP
-  double cpu() const {                 // seconds
+  std::uint16_t port = 0, secondPort = 0;  // gRPC; frames (leaf server) or HTTP (mixer)
+  // CPU time so far, in seconds.
+  double cpu() const {
     std::ifstream in("/proc/" + std::to_string(pid) + "/stat");
     std::string word;
     long ticks = 0;
@@ -64,7 +66,7 @@
   }
 };
 
-// Runs `serve` in a process of its own; it tells its ports over the pipe.
+// Runs `serve` in a process of its own, which sends its ports through the pipe.
 template <typename Serve>
 Child start(const Serve& serve) {
   int pipes[2];
@@ -81,11 +83,11 @@
   if (read(pipes[0], ports, sizeof ports) != sizeof ports) std::abort();
   close(pipes[0]);
   out.port = ports[0];
-  out.second = ports[1];
+  out.secondPort = ports[1];
   return out;
 }
-void tell(int pipe, std::uint16_t port, std::uint16_t second) {
-  const std::uint16_t ports[2] = {port, second};
+void sendPorts(int pipe, std::uint16_t port, std::uint16_t secondPort) {
+  const std::uint16_t ports[2] = {port, secondPort};
   if (write(pipe, ports, sizeof ports) != sizeof ports) std::abort();
 }
 
@@ -98,7 +100,7 @@
   leaf.keepMessages = leaf.keepSeen = false;
   standin::FrameLeaf frames(loop, [](const auto&) { return standin::FrameLeaf::Reply{}; });
   frames.keepSeen = false;
-  tell(pipe, leaf.port(), frames.port());
+  sendPorts(pipe, leaf.port(), frames.port());
   loop.io.run();
 }
 
@@ -123,7 +125,7 @@
   config.listen.port = 0;
   ChannelLimits limits;
   limits.connectionsPerLeaf = config.connectionsPerLeaf;
-  limits.portOffset = int(leaf.port) - int(leaf.second);
+  limits.portOffset = int(leaf.port) - int(leaf.secondPort);
   host.streams = 1000;
   LeafSockets texts(loop, std::make_unique<Links>(linkLimits(host, set, 64), &counters));
   LeafSockets exchanges(loop, std::make_unique<Channels>(limits, &counters));
@@ -133,23 +135,24 @@
   list.whole = true;
   LeafEntry entry;
   entry.name = "s";
-  entry.address = {"127.0.0.1", leaf.second};
+  entry.address = {"127.0.0.1", leaf.secondPort};
   list.entries = {entry};
   mixer.list(list, ListKind::complete);
   GrpcServer server(loop, counters, mixer, config, host.classKeyed, host.shards);
   server.listen();
   Clients clients(loop, counters, mixer, 4000);
   clients.listen({"127.0.0.1", 0});
-  tell(pipe, server.port(), clients.port());
+  sendPorts(pipe, server.port(), clients.port());
   loop.io.run();
 }
 
 struct Figures {
   std::uint64_t calls = 0, failed = 0, bytes = 0;
-  double seconds = 0, p50 = 0, p99 = 0;
+  double seconds = 0, p50 = 0, p99 = 0;  // p50, p99: microseconds
 };
 
-// So many calls at once over a few connections, for so long; with a pace, no more than so many a second.
+// Keeps `atOnce` calls open over up to four connections for `seconds`. If `pace` is not 0 it limits the
+// calls per second.
 Figures load(std::uint16_t port, const std::string& path, const std::string& script, const std::string& body,
              int atOnce, double seconds, double pace = 0) {
   Loop loop;
@@ -166,13 +169,13 @@
   std::size_t open = 0;
   const http2::Fields fields{{"script", script}, {"grpc-timeout", "30S"}};
   std::uint64_t begun = 0;
-  const auto again = [&](GrpcClient& client) {
+  const auto startCall = [&](GrpcClient& client) {
     const Micros due = pace > 0 ? began + Micros(double(begun) * 1e6 / pace) : 0;
     ++begun;
-    const auto now = [&, c = &client] {
+    const auto send = [&, c = &client] {
       if (c->call(path, fields, body)) ++open;
     };
-    due > loop.now() ? void(loop.deadlines.add(due, now)) : now();
+    due > loop.now() ? void(loop.deadlines.add(due, send)) : send();
   };
   for (auto& client : clients)
     client->onOver = [&, c = client.get()](const GrpcClient::Held& r) {
@@ -181,10 +184,10 @@
       out.failed += r->status != 0;
       out.bytes += r->bytes;
       times.push_back(double(r->overAt - r->beganAt));
-      if (loop.now() < end) boost::asio::post(loop.strand, [&again, c] { again(*c); });
+      if (loop.now() < end) boost::asio::post(loop.strand, [&startCall, c] { startCall(*c); });
     };
   loop.io.run_for(std::chrono::milliseconds(50));
-  for (int k = 0; k < atOnce; ++k) again(*clients[std::size_t(k) % clients.size()]);
+  for (int k = 0; k < atOnce; ++k) startCall(*clients[std::size_t(k) % clients.size()]);
   while (loop.now() < end || open > 0) {
     loop.io.restart();
     loop.io.run_for(std::chrono::milliseconds(5));
@@ -199,36 +202,41 @@
   return out;
 }
 
-// HTTP queries at a steady rate, whatever becomes of them; in time: within 50 ms of when each was due.
-struct Service {
-  double share = 0, p50 = 0, p99 = 0;  // microseconds
+// Sends HTTP queries at a constant rate, whether or not earlier ones are answered (open loop). A query is in
+// time if it is answered within 50 ms of when it was due.
+struct HttpFigures {
+  double share = 0;         // of the queries answered in time
+  double p50 = 0, p99 = 0;  // microseconds
 };
-Service steadyHttp(std::uint16_t port, double rate, double seconds) {
+HttpFigures steadyHttp(std::uint16_t port, double rate, double seconds) {
   constexpr int kConnections = 100;
   Loop loop;
   std::vector<std::unique_ptr<standin::HttpClient>> clients;
   for (int k = 0; k < kConnections; ++k) clients.push_back(std::make_unique<standin::HttpClient>(loop, port));
   std::vector<double> times;
   const int all = int(rate * seconds);
-  int over = 0;
+  int answered = 0;
   const Micros began = loop.now() + 20'000;
   for (int k = 0; k < all; ++k)
     loop.deadlines.add(began + Micros(k * 1e6 / rate), [&, k, due = began + Micros(k * 1e6 / rate)] {
       standin::HttpQuery query;
       query.id = std::to_string(getpid()) + "-" + std::to_string(due) + "-" + std::to_string(k);
       clients[std::size_t(k % kConnections)]->ask(query.request(), [&, due](const HttpMessage& reply) {
-        ++over;
+        ++answered;
         if (reply.status == 200) times.push_back(double(loop.now() - due));
       });
     });
-  while (over < all && loop.now() < began + Micros(seconds * 1e6) + 5'000'000) {
+  while (answered < all && loop.now() < began + Micros(seconds * 1e6) + 5'000'000) {
     loop.io.restart();
     loop.io.run_for(std::chrono::milliseconds(5));
   }
   std::ranges::sort(times);
-  Service out;
+  HttpFigures out;
   out.share = double(std::ranges::lower_bound(times, 50'000.0) - times.begin()) / all;
-  if (!times.empty()) out.p50 = times[times.size() / 2], out.p99 = times[times.size() * 99 / 100];
+  if (!times.empty()) {
+    out.p50 = times[times.size() / 2];
+    out.p99 = times[times.size() * 99 / 100];
+  }
   return out;
 }
 
@@ -268,12 +276,13 @@
     std::fflush(stdout);
   }
 
-  // Both fronts at once, alternating with HTTP alone.
+  // HTTP alone, alternating with HTTP and gRPC at once.
   constexpr double kHttpRate = 2000;
   std::printf("%-44s %10s %10s %10s %12s\n", "HTTP, 2,000 queries/s", "in 50 ms", "p50 us", "p99 us",
               "gRPC calls/s");
   for (int round = 0; round < 3; ++round)
-    for (const double pace : {0.0, 10'000.0, -1.0}) {  // none; steady; as many as go through
+    // gRPC calls per second: none, 10,000, and as many as 100 concurrent calls give.
+    for (const double pace : {0.0, 10'000.0, -1.0}) {
       int pipes[2];
       if (pipe(pipes) != 0) std::abort();
       const pid_t other = pace == 0 ? 0 : fork();
@@ -285,7 +294,7 @@
       }
       close(pipes[1]);
       usleep(200'000);
-      const Service http = steadyHttp(mixer.second, kHttpRate, seconds);
+      const HttpFigures http = steadyHttp(mixer.secondPort, kHttpRate, seconds);
       double rate = 0;
       if (pace != 0) {
         if (read(pipes[0], &rate, sizeof rate) != sizeof rate) std::abort();
@@ -308,7 +317,10 @@
     constexpr int kIdle = 1000, kStreams = 1000;
     for (int k = 0; k < kIdle; ++k) {
       idle.push_back(std::make_unique<GrpcClient>(loop, mixer.port));
-      if (k % 50 == 49) loop.io.run_for(std::chrono::milliseconds(10)), loop.io.restart();
+      if (k % 50 == 49) {
+        loop.io.run_for(std::chrono::milliseconds(10));
+        loop.io.restart();
+      }
     }
     loop.io.run_for(std::chrono::milliseconds(300));
     const double connected = mixer.memoryKb();
@@ -316,7 +328,10 @@
     for (int k = 0; k < kStreams; ++k) {
       open.push_back(
           idle[0]->call("/b.B/Down", {{"script", "message=10 stall"}, {"grpc-timeout", "30S"}}, small));
-      if (k % 50 == 49) loop.io.restart(), loop.io.run_for(std::chrono::milliseconds(10));
+      if (k % 50 == 49) {
+        loop.io.restart();
+        loop.io.run_for(std::chrono::milliseconds(10));
+      }
     }
     loop.io.restart();
     loop.io.run_for(std::chrono::milliseconds(500));
--- a/tests/grpc_interop.cpp
+++ b/tests/grpc_interop.cpp
@@ -1,5 +1,5 @@
-// The mixer between peers that this project did not write: libgrpc++ as the client and, behind it, as the
-// leaf servers. The cases are those of gRPC's interoperability tests, on bytes in place of their messages.
+// The mixer between peers of another implementation: libgrpc++ as the client and as the leaf servers. The
+// cases are those of gRPC's interoperability tests, with plain bytes in place of their protobuf messages.
 #undef NDEBUG
 #include <grpcpp/generic/async_generic_service.h>
 #include <grpcpp/generic/generic_stub.h>
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr const char* kSpecial =
+constexpr const char* kSpecialStatusMessage =
     "\t\ntest with whitespace\r\nand Unicode BMP \xe2\x98\xba and non-BMP \xf0\x9f\x98\x88\t\n";
 
 grpc::ByteBuffer pack(const std::string& text) {
@@ -35,10 +35,10 @@
   return out;
 }
 
-// ---- The leaf server ----
-class Reactor : public grpc::ServerGenericBidiReactor {
+// ---- The leaf server: one reactor for each call; the method's name selects its behaviour ----
+class LeafReactor : public grpc::ServerGenericBidiReactor {
  public:
-  explicit Reactor(grpc::GenericCallbackServerContext* context)
+  explicit LeafReactor(grpc::GenericCallbackServerContext* context)
       : context_(context), method_(context->method()) {
     const auto& metadata = context->client_metadata();
     if (const auto at = metadata.find("x-grpc-test-echo-initial"); at != metadata.end())
@@ -52,7 +52,7 @@
   }
   void OnReadDone(bool ok) override {
     if (is("Sleep")) return;
-    if (!ok) return last();
+    if (!ok) return requestEnded();
     const std::string text = unpack(in_);
     if (is("ClientStreaming")) {
       total_ += text.size();
@@ -64,13 +64,13 @@
       for (std::size_t at = 0; at < text.size();
            at = text.find(',', at) == std::string::npos ? text.size() : text.find(',', at) + 1)
         sizes_.push_back(std::stoul(text.substr(at)));
-      return next();
+      return sendNext();
     }
     write(is("LargeUnary") ? std::string(314159, 'l') : text);
   }
   void OnWriteDone(bool ok) override {
     if (!ok) return Finish(grpc::Status(grpc::StatusCode::CANCELLED, "write"));
-    if (is("ServerStreaming")) return next();
+    if (is("ServerStreaming")) return sendNext();
     if (is("PingPong")) return StartRead(&in_);
     Finish(grpc::Status::OK);
   }
@@ -85,13 +85,13 @@
     out_ = pack(text);
     StartWrite(&out_);
   }
-  void next() {
+  void sendNext() {
     if (sizes_.empty()) return Finish(grpc::Status::OK);
     const std::size_t size = sizes_.front();
     sizes_.erase(sizes_.begin());
     write(std::string(size, 's'));
   }
-  void last() {
+  void requestEnded() {
     if (is("ClientStreaming")) return write(std::to_string(total_));
     Finish(grpc::Status::OK);
   }
@@ -102,9 +102,9 @@
   std::size_t total_ = 0;
   std::vector<std::size_t> sizes_;
 };
-class Service : public grpc::CallbackGenericService {
+class LeafService : public grpc::CallbackGenericService {
   grpc::ServerGenericBidiReactor* CreateReactor(grpc::GenericCallbackServerContext* context) override {
-    return new Reactor(context);
+    return new LeafReactor(context);
   }
 };
 
@@ -124,7 +124,7 @@
     stream_->Write(pack(text), &queue_);
     return wait();
   }
-  void done() {
+  void finishRequest() {
     stream_->WritesDone(&queue_);
     wait();
   }
@@ -143,7 +143,7 @@
   grpc::Status unary(const std::string& text, std::string* answer = nullptr) {
     begin();
     write(text);
-    done();
+    finishRequest();
     if (const auto got = read(); got && answer) *answer = *got;
     return finish();
   }
@@ -172,12 +172,12 @@
 }  // namespace
 
 int main() {
-  // Two leaf servers of libgrpc++.
-  std::vector<std::unique_ptr<Service>> services;
+  // Two leaf servers.
+  std::vector<std::unique_ptr<LeafService>> services;
   std::vector<std::unique_ptr<grpc::Server>> servers;
   std::vector<int> ports(2, 0);
   for (int& port : ports) {
-    services.push_back(std::make_unique<Service>());
+    services.push_back(std::make_unique<LeafService>());
     grpc::ServerBuilder builder;
     builder.AddListeningPort("127.0.0.1:0", grpc::InsecureServerCredentials(), &port);
     builder.RegisterCallbackGenericService(services.back().get());
@@ -185,7 +185,7 @@
     assert(servers.back() && port > 0);
   }
 
-  // The mixer, on a thread of its own.
+  // The mixer, on its own thread.
   net::Loop loop;
   net::Counters counters;
   cometdeal::Settings settings;
@@ -209,8 +209,8 @@
   limits.connectTimeout = host.connectTimeout;
   auto machine = std::make_unique<net::Channels>(limits, &counters);
   const net::Channels& channels = *machine;
-  net::LeafSockets side(loop, std::move(machine));
-  net::Mixer mixer(loop, counters, side, settings, host, 7);
+  net::LeafSockets leafSide(loop, std::move(machine));
+  net::Mixer mixer(loop, counters, leafSide, settings, host, 7);
   net::LeafList list;
   list.whole = true;
   for (std::size_t k = 0; k < ports.size(); ++k) {
@@ -223,10 +223,13 @@
   net::GrpcServer server(loop, counters, mixer, config, host.classKeyed, host.shards);
   server.listen();
   const std::string address = "127.0.0.1:" + std::to_string(server.port());
-  std::thread mixing([&] { loop.io.run(); });
+  std::thread mixerThread([&] { loop.io.run(); });
 
   grpc::GenericStub stub(grpc::CreateChannel(address, grpc::InsecureChannelCredentials()));
-  const auto passed = [](const char* name) { std::printf("%s\n", name), std::fflush(stdout); };
+  const auto passed = [](const char* name) {
+    std::printf("%s\n", name);
+    std::fflush(stdout);
+  };
   std::string answer = "?";
   {
     assert(Call(stub, "EmptyUnary").unary("", &answer).ok() && answer.empty());
@@ -241,7 +244,7 @@
     Call call(stub, "ClientStreaming");
     call.begin();
     for (const std::size_t size : {27182, 8, 1828, 45904}) assert(call.write(std::string(size, 'c')));
-    call.done();
+    call.finishRequest();
     assert(call.read() == "74922" && call.finish().ok());
     passed("client_streaming");
   }
@@ -249,7 +252,7 @@
     Call call(stub, "ServerStreaming");
     call.begin();
     call.write("31415,9,2653,58979");
-    call.done();
+    call.finishRequest();
     for (const std::size_t size : {31415, 9, 2653, 58979}) assert(call.read()->size() == size);
     assert(!call.read() && call.finish().ok());
     passed("server_streaming");
@@ -261,14 +264,14 @@
       assert(call.write(std::to_string(size)));
       assert(call.read()->size() == size);
     }
-    call.done();
+    call.finishRequest();
     assert(!call.read() && call.finish().ok());
     passed("ping_pong");
   }
   {
     Call call(stub, "PingPong");
     call.begin();
-    call.done();
+    call.finishRequest();
     assert(!call.read() && call.finish().ok());
     passed("empty_stream");
   }
@@ -278,7 +281,7 @@
     call.context.AddMetadata("x-grpc-test-echo-trailing-bin", std::string("\xab\xab\xab", 3));
     call.begin();
     call.write("3");
-    call.done();
+    call.finishRequest();
     assert(call.read());
     assert(!call.read() && call.finish().ok());
     const auto& initial = call.context.GetServerInitialMetadata();
@@ -289,7 +292,7 @@
     assert(last != trailing.end() && last->second == std::string("\xab\xab\xab", 3));
   }
   passed("custom_metadata");
-  for (const std::string& text : {std::string("test status message"), std::string(kSpecial)}) {
+  for (const std::string& text : {std::string("test status message"), std::string(kSpecialStatusMessage)}) {
     const grpc::Status status = Call(stub, "Status").unary(text);
     assert(status.error_code() == 2 && status.error_message() == text);
   }
@@ -331,21 +334,21 @@
     }
     passed("timeout_on_sleeping_server");
   }
-  // Nothing is left behind.
+  // Wait until no call, query, stream or attempt is left in the mixer.
   for (int k = 0; k < 1000; ++k) {
     bool left = true;
-    std::atomic<bool> told = false;
+    std::atomic<bool> checked = false;
     boost::asio::post(loop.strand, [&] {
       left = server.openCalls() > 0 || mixer.open() > 0 || channels.streams() > 0 || channels.attempts() > 0;
-      told = true;
+      checked = true;
     });
-    while (!told) std::this_thread::sleep_for(1ms);
+    while (!checked) std::this_thread::sleep_for(1ms);
     if (!left) break;
     assert(k < 999);
     std::this_thread::sleep_for(10ms);
   }
   loop.io.stop();
-  mixing.join();
+  mixerThread.join();
   for (const auto& one : servers) one->Shutdown(std::chrono::system_clock::now() + 100ms);
   assert(counters.of(net::Count::defects) == 0);
   return 0;
