--- a/src/front/grpc/calls.cpp
+++ b/src/front/grpc/calls.cpp
@@ -103,13 +103,13 @@
 
 void GrpcCalls::beginCall(std::int32_t id, const Fields& fields, bool end) {
   context_->counters->add(Count::requests);
-  const auto reject = [&](Status status, const std::string& why) {
+  const auto reject = [&](Status status, const std::string& message) {
     context_->counters->add(Count::badRequests);
     session_.respond(id,
                      {{":status", "200"},
                       {"content-type", "application/grpc"},
                       {"grpc-status", std::to_string(int(status))},
-                      {"grpc-message", grpc::encodeMessage(why)}},
+                      {"grpc-message", grpc::encodeMessage(message)}},
                      true);
     session_.closeWhenSaid(id);
   };
@@ -130,17 +130,17 @@
   const std::string path(field(":path"));
   const grpc::Route* route = context_->config->find(path);
   if (!route) return reject(Status::unimplemented, "unknown method " + quoted(path));
-  Micros time = route->deadline;
+  Micros timeLimit = route->deadline;
   if (const std::string* text = http2::find(fields, "grpc-timeout")) {
     const auto parsed = grpc::parseTimeout(*text);
     if (!parsed)
       return reject(Status::invalidArgument,
                     "grpc-timeout " + quoted(*text) + ": expected up to 8 digits and one of H M S m u n");
-    time = std::min(*parsed, Micros(1) << 50);
+    timeLimit = std::min(*parsed, Micros(1) << 50);
   }
   Call call;
   call.route = route;
-  call.deadline = std::min(now_ + time - kReturnTime, drainDeadline_);
+  call.deadline = std::min(now_ + timeLimit - kReturnTime, drainDeadline_);
   NewQuery& q = call.query;
   q.id = name_ + "." + std::to_string(id);
   q.cls = route->cls;
@@ -179,9 +179,9 @@
                         !field("grpc-encoding").empty() && field("grpc-encoding") != "identity");
   call.deadlineTimer = timers_.add(call.deadline, id);
   call.exchange->request.onRoom = [this, id] { markDirty(id); };
-  Call& held = calls_.emplace(id, std::move(call)).first->second;
+  Call& stored = calls_.emplace(id, std::move(call)).first->second;
   if (end) return;  // requestEnded() follows
-  if (clientStreams(route->kind)) submit(id, held);
+  if (clientStreams(route->kind)) submit(id, stored);
 }
 
 void GrpcCalls::receiveData(std::int32_t id, const std::string& bytes) {
--- a/src/front/grpc/calls.hpp
+++ b/src/front/grpc/calls.hpp
@@ -65,7 +65,8 @@
   std::optional<Micros> nextTimer() const { return timers_.next(); }
   void runDueTimers();
 
-  // Graceful shutdown: announces it to the client, and limits the deadline of every later call to `endBy`.
+  // Graceful shutdown: announces it to the client, and limits the deadline of each call that still arrives to
+  // `endBy`.
   // sendFinalGoaway() follows when calls that crossed the announcement have arrived.
   void drain(Micros endBy);
   void sendFinalGoaway();
--- a/src/front/grpc/server.hpp
+++ b/src/front/grpc/server.hpp
@@ -25,7 +25,8 @@
   ~GrpcServer();
   void listen();  // throws boost::system::system_error
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
-  // Graceful shutdown: tells clients to use other servers. Open calls may finish until `endBy`.
+  // Graceful shutdown: tells clients to use other servers. Open calls continue; the deadline of each call
+  // that still arrives is limited to `endBy`.
   void drain(Micros endBy);
   // Closes the listener and all connections without open calls.
   void finish();
--- a/src/grpc/routes.cpp
+++ b/src/grpc/routes.cpp
@@ -10,7 +10,7 @@
 
 using net::StrictYaml;
 
-constexpr Micros kMaxDeadline = 24LL * 3600 * 1'000'000;
+constexpr Micros kMaxDuration = 24LL * 3600 * 1'000'000;  // one day
 
 std::string readMetadataName(const StrictYaml& at) {
   std::string name = at.string();
@@ -47,7 +47,7 @@
   if (const auto key = at.find("idempotency_key")) out.idempotencyKey = readMetadataName(*key);
   if (const auto repeat = at.find("repeat")) out.repeat = repeat->boolean();
   const auto deadline = at.find("deadline");
-  out.deadline = deadline ? deadline->duration(1000, kMaxDeadline) : classSettings.deadline;
+  out.deadline = deadline ? deadline->duration(1000, kMaxDuration) : classSettings.deadline;
   if (classSettings.effect == Effect::keyed && out.repeat && out.idempotencyKey.empty())
     at.fail("the class '" + cls.string() +
             "' is keyed: set idempotency_key to the name of the entry with the key, or set repeat: false");
@@ -79,7 +79,7 @@
   if (auto leaves = at.find("leaves")) {
     readNumber(*leaves, "port_offset", out.leafPortOffset, -65535, 65535);
     readNumber(*leaves, "connections", out.connectionsPerLeaf, 1, 64);
-    if (const auto span = leaves->find("keepalive")) out.keepalive = span->duration(100'000, kMaxDeadline);
+    if (const auto span = leaves->find("keepalive")) out.keepalive = span->duration(100'000, kMaxDuration);
     leaves->done();
   }
   const StrictYaml routes = at.need("routes");
--- a/src/grpc/routes.hpp
+++ b/src/grpc/routes.hpp
@@ -12,12 +12,14 @@
 
 namespace cometdeal::grpc {
 
+// In the order of the values of the setting `kind`.
 enum class MethodKind { unary, serverStreaming, clientStreaming, bidiStreaming };
 
 // How calls of one method, or of all methods of a service, are handled.
 struct Route {
-  std::string
-      method;   // "/package.Service/Method", or "/package.Service/*" for methods without their own route
+  // "/package.Service/Method", or "/package.Service/*" for all methods of the service without their own
+  // route.
+  std::string method;
   int cls = 0;  // index into the classes of the settings
   MethodKind kind = MethodKind::unary;
   // Names of metadata entries of the request; empty: none.
