--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -841,14 +841,9 @@
                                                               {"stop", testStop},
                                                               {"bad", testBadInput},
                                                               {"leaves", testLeafConnections}};
-  if (argc == 4 && std::string(argv[1]) == "soak") {
-    testSoak(std::atoi(argv[2]), unsigned(std::atoi(argv[3])));
-    return 0;
-  }
-  if (argc == 3 && std::string(argv[1]) == "cancel-time") {
-    measureCancel(std::atoi(argv[2]));
-    return 0;
-  }
+  if (argc == 4 && std::string(argv[1]) == "soak")
+    return testSoak(std::atoi(argv[2]), unsigned(std::atoi(argv[3]))), 0;
+  if (argc == 3 && std::string(argv[1]) == "cancel-time") return measureCancel(std::atoi(argv[2])), 0;
   for (const auto& [name, test] : tests) {
     if (argc > 1 && std::string(argv[1]) != name) continue;
     std::printf("%s\n", name);
