--- a/bench/grpc_bench.cpp
+++ b/bench/grpc_bench.cpp
@@ -317,10 +317,7 @@
     constexpr int kIdle = 1000, kStreams = 1000;
     for (int k = 0; k < kIdle; ++k) {
       idle.push_back(std::make_unique<GrpcClient>(loop, mixer.port));
-      if (k % 50 == 49) {
-        loop.io.run_for(std::chrono::milliseconds(10));
-        loop.io.restart();
-      }
+      if (k % 50 == 49) loop.io.run_for(std::chrono::milliseconds(10)), loop.io.restart();
     }
     loop.io.run_for(std::chrono::milliseconds(300));
     const double connected = mixer.memoryKb();
@@ -328,10 +325,7 @@
     for (int k = 0; k < kStreams; ++k) {
       open.push_back(
           idle[0]->call("/b.B/Down", {{"script", "message=10 stall"}, {"grpc-timeout", "30S"}}, small));
-      if (k % 50 == 49) {
-        loop.io.restart();
-        loop.io.run_for(std::chrono::milliseconds(10));
-      }
+      if (k % 50 == 49) loop.io.restart(), loop.io.run_for(std::chrono::milliseconds(10));
     }
     loop.io.restart();
     loop.io.run_for(std::chrono::milliseconds(500));
