--- a/src/http2/session.hpp
+++ b/src/http2/session.hpp
@@ -171,7 +171,7 @@
     Fields fields;  // of the list that is being received
     std::size_t fieldsBytes = 0;
     bool fieldsTooLarge = false;
-    std::optional<std::uint64_t> headersEnd;  // offset in the connection's output behind the header fields
+    std::optional<std::uint64_t> headersEnd;  // offset in the connection's output after the header fields
   };
   struct Callbacks;
 
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -484,9 +484,9 @@
   Held r = slow.call("/t.S/Down", script("slow", many + " status=0"), message("x"));
   assert(rig.waitUntil([&] { return r->bytes > 60'000; }));
   rig.runFor(100 * ms);
-  const std::size_t held = rig.server->bufferedBytes();
-  if (held > 3 * 65536) std::fprintf(stderr, "held %zu\n", held);
-  assert(held <= 3 * 65536 && !r->over);
+  const std::size_t buffered = rig.server->bufferedBytes();
+  if (buffered > 3 * 65536) std::fprintf(stderr, "buffered %zu\n", buffered);
+  assert(buffered <= 3 * 65536 && !r->over);
   Held quick = other.call("/t.S/Unary", script("quick", "read message=1 status=0"), message("x"));
   assert(rig.waitForEnd(quick));
   CHECK_CALL(quick->status == 0, quick);
