--- a/src/phases/account.hpp
+++ b/src/phases/account.hpp
@@ -1,5 +1,5 @@
-// What an answer in phases rests on, told with it: what each phase asked, what of it is in, what was left out
-// on purpose and what is missing. Weights are shares of the query's whole weight.
+// The account of a query in phases that goes out with its answer: what each phase asked, what answered, what
+// was left out on purpose and what is missing. Weights are shares of the query's total weight.
 #pragma once
 
 #include <vector>
@@ -9,11 +9,11 @@
 namespace cometdeal::phases {
 
 struct PhaseAccount {
-  int asked = 0, in = 0;  // parts; what was asked and is not in is missing
+  int asked = 0, in = 0;  // parts asked and answered; the difference is missing
   double weightAsked = 0, weightIn = 0;
-  Step::How how = Step::How::whole;  // how it ended
-  // Of the second, from what the first had in: left out by the rule, known to have nothing, not asked for
-  // lack of time.
+  Step::How how = Step::How::whole;
+  // For the second phase: parts that answered the first phase and were left out by the plan's rule, because
+  // nothing matches there, or for lack of time.
   int pruned = 0, nothing = 0, cut = 0;
   double weightPruned = 0, weightNothing = 0, weightCut = 0;
 };
@@ -21,13 +21,13 @@
 struct Account {
   std::vector<PhaseAccount> phases;
   Step::Second second = Step::Second::none;
-  bool lossless = true;  // of the pruning
+  bool lossless = true;  // the shards that the pruning left out could not have changed the answer
 
-  // At the end of the first phase, with the step that ended it; at the end of the second.
+  // Record the end of a phase: its parts, and the step that ended it.
   void firstEnds(const Plan& plan, const std::vector<Seen>& parts, const Step& step);
   void secondEnds(const std::vector<Seen>& parts, const Step& step);
 
-  // Nothing is missing that could have changed the answer.
+  // Whether nothing is missing that could have changed the answer.
   bool exact(const Plan& plan) const;
 };
 
--- a/src/phases/latency.cpp
+++ b/src/phases/latency.cpp
@@ -10,39 +10,40 @@
 
 namespace bh = boost::histogram;
 
-constexpr double kForget = 20e6;      // microseconds after which a time weighs e times less
-constexpr double kExponentMost = 50;  // weights are made small again beyond it
-constexpr double kShortest = 50, kLongest = 120e6, kStep = 1.05;
+constexpr double kDecayUs = 20e6;    // the weight of a sample falls by a factor of e in this time
+constexpr double kMaxExponent = 50;  // all weights are scaled down beyond it, so that they stay finite
+constexpr double kShortestUs = 50, kLongestUs = 120e6, kBinRatio = 1.05;
 
 using Axis = bh::axis::regular<double, bh::axis::transform::log>;
 using Bins = bh::histogram<std::tuple<Axis>, bh::dense_storage<double>>;
 
 Bins emptyBins() {
-  const unsigned number = unsigned(std::ceil(std::log(kLongest / kShortest) / std::log(kStep)));
-  return Bins(std::make_tuple(Axis(number, kShortest, kLongest)));
+  const unsigned number = unsigned(std::ceil(std::log(kLongestUs / kShortestUs) / std::log(kBinRatio)));
+  return Bins(std::make_tuple(Axis(number, kShortestUs, kLongestUs)));
 }
 
 }  // namespace
 
-// Weights grow with time in place of all older ones shrinking: exp((now - zero) / kForget).
-struct Latencies::Track {
+// Instead of decaying all old samples, new ones get a weight that grows with time:
+// exp((now - origin) / kDecayUs).
+struct Latencies::Histogram {
   Bins bins = emptyBins();
-  Micros zero = 0;
-  double sum = 0;
+  Micros origin = 0;
+  double sum = 0;  // of the weights
 
-  double weight(Micros now) const { return std::exp(double(now - zero) / kForget); }
+  double weight(Micros now) const { return std::exp(double(now - origin) / kDecayUs); }
   void add(Micros took, Micros now) {
-    if (sum == 0) zero = now;
-    if (double(now - zero) / kForget > kExponentMost) {
+    if (sum == 0) origin = now;
+    if (double(now - origin) / kDecayUs > kMaxExponent) {
       const double shrink = 1 / weight(now);
       bins *= shrink;
       sum *= shrink;
-      zero = now;
+      origin = now;
     }
-    bins(std::clamp(double(took), kShortest, kLongest * 0.999), bh::weight(weight(now)));
+    bins(std::clamp(double(took), kShortestUs, kLongestUs * 0.999), bh::weight(weight(now)));
     sum += weight(now);
   }
-  double evidence(Micros now) const { return sum / weight(now); }
+  double decayedCount(Micros now) const { return sum / weight(now); }
   Micros quantile(double q) const {
     const double wanted = q * sum;
     double below = 0;
@@ -50,12 +51,12 @@
     for (int k = 0; k < axis.size(); ++k) {
       const double here = bins.at(k);
       if (here > 0 && below + here >= wanted) {
-        const double part = std::clamp((wanted - below) / here, 0.0, 1.0);
-        return Micros(axis.value(k + part));
+        const double fraction = std::clamp((wanted - below) / here, 0.0, 1.0);
+        return Micros(axis.value(k + fraction));
       }
       below += here;
     }
-    return Micros(kLongest);
+    return Micros(kLongestUs);
   }
 };
 
@@ -64,31 +65,32 @@
 Latencies::Latencies(const Latencies& other) { *this = other; }
 Latencies& Latencies::operator=(const Latencies& other) {
   if (this == &other) return *this;
-  tracks_.clear();
-  for (const auto& one : other.tracks_) tracks_.push_back(one ? std::make_unique<Track>(*one) : nullptr);
+  histograms_.clear();
+  for (const auto& one : other.histograms_)
+    histograms_.push_back(one ? std::make_unique<Histogram>(*one) : nullptr);
   return *this;
 }
 
-Latencies::Track* Latencies::track(int cls, int phase) const {
+Latencies::Histogram* Latencies::histogram(int cls, int phase) const {
   const std::size_t at = std::size_t(cls) * 2 + std::size_t(phase);
-  return at < tracks_.size() ? tracks_[at].get() : nullptr;
+  return at < histograms_.size() ? histograms_[at].get() : nullptr;
 }
 
 void Latencies::add(int cls, int phase, Micros took, Micros now, bool cutOff) {
   const std::size_t at = std::size_t(cls) * 2 + std::size_t(phase);
-  if (at >= tracks_.size()) tracks_.resize(at + 1);
-  if (!tracks_[at]) tracks_[at] = std::make_unique<Track>();
-  Track& t = *tracks_[at];
-  if (cutOff && (t.sum == 0 || took <= t.quantile(0.95))) return;
-  t.add(took, now);
+  if (at >= histograms_.size()) histograms_.resize(at + 1);
+  if (!histograms_[at]) histograms_[at] = std::make_unique<Histogram>();
+  Histogram& h = *histograms_[at];
+  if (cutOff && (h.sum == 0 || took <= h.quantile(0.95))) return;
+  h.add(took, now);
 }
 
 std::optional<Micros> Latencies::allIn(int cls, int phase, std::size_t parts, double chance,
                                        Micros now) const {
-  const Track* t = track(cls, phase);
-  if (!t || t->evidence(now) < kEnough) return std::nullopt;
+  const Histogram* h = histogram(cls, phase);
+  if (!h || h->decayedCount(now) < kMinSamples) return std::nullopt;
   if (parts == 0) return 0;
-  return t->quantile(std::pow(chance, 1.0 / double(parts)));
+  return h->quantile(std::pow(chance, 1.0 / double(parts)));
 }
 
 }  // namespace cometdeal::phases
--- a/src/phases/latency.hpp
+++ b/src/phases/latency.hpp
@@ -1,6 +1,6 @@
-// How long parts take, learned for each class and phase: a histogram of the times in steps of 5 %, in which
-// older ones weigh less (Boost.Histogram; forward decay as in Cormode et al., "Forward Decay", ICDE 2009).
-// Without I/O; times in microseconds, on the caller's clock.
+// Learns how long the parts of each class and phase take: a histogram with logarithmic bins of 5 % in which
+// older samples weigh less (Boost.Histogram; forward decay as in Cormode et al., "Forward Decay", ICDE 2009).
+// No I/O; times are in microseconds on the caller's clock.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -17,23 +17,24 @@
   Latencies(const Latencies& other);
   Latencies& operator=(const Latencies& other);
 
-  // The time from when a phase began to when a part of it was in, its copies and retries included. Cut off:
-  // the part was not waited for any longer, so it would have taken at least so long; that counts where it
-  // tells something, above what all but a twentieth take.
+  // Records the time from the start of a phase to the answer of one of its parts, hedges and retries
+  // included. With `cutOff` the part was abandoned without an answer after `took`, which is only a lower
+  // bound of its time; it is recorded only above the 95th percentile, since shorter ones carry no
+  // information.
   void add(int cls, int phase, Micros took, Micros now, bool cutOff = false);
 
-  // By when all of so many parts are in, with a chance of `chance` (0 to 1), as if they took their times
-  // independently of each other: where one slowness holds up all of them this is more than the truth. Nothing
-  // as long as fewer than kEnough times are known.
+  // The time within which `parts` parts all answer with probability `chance` (0 to 1). Treats the times of
+  // the parts as independent, so it overestimates where one cause delays all of them. Nothing while the
+  // decayed number of samples is below kMinSamples.
   std::optional<Micros> allIn(int cls, int phase, std::size_t parts, double chance, Micros now) const;
 
-  static constexpr double kEnough = 10;
+  static constexpr double kMinSamples = 10;
 
  private:
-  struct Track;
-  Track* track(int cls, int phase) const;  // none yet: null
+  struct Histogram;
+  Histogram* histogram(int cls, int phase) const;  // null if there is none yet
 
-  std::vector<std::unique_ptr<Track>> tracks_;  // by class and phase
+  std::vector<std::unique_ptr<Histogram>> histograms_;  // index: class * 2 + phase
 };
 
 }  // namespace cometdeal::phases
--- a/src/phases/plan.hpp
+++ b/src/phases/plan.hpp
@@ -1,8 +1,8 @@
-// A query's plan in two phases, as data: what each phase asks, the least share that may be gone on from or
-// answered, how the shards of the second are picked, and how the time is split. Without I/O and in no
-// protocol's words; plans are read by `config/plans` (YAML) and the fronts, carried out by `core/ledger`.
+// Plans for queries in two phases: what each phase asks, the minimum share of answers for continuing or
+// answering, how the shards of the second phase are selected, and how the time is divided. No I/O and
+// independent of any protocol: `config/plans` (YAML) and the fronts read plans, `core/ledger` executes them.
 //
-// Shares are parts of the query's whole weight, 0 to 1. Times are microseconds.
+// Shares are fractions of the query's total weight, 0 to 1. Times are in microseconds.
 #pragma once
 
 #include <cstddef>
@@ -13,36 +13,36 @@
 
 namespace cometdeal::phases {
 
-// Which of the shards that are in the second phase asks. Best score first, equal scores by shard: so all
-// mixers agree.
+// Which of the shards that answered the first phase are asked in the second. Shards are ordered by score,
+// best first, and equal scores by shard number, so that all mixers select the same shards.
 enum class Rule : std::uint8_t {
-  top,        // so many
-  threshold,  // those with at least `ratio` of the best score
-  canMatch,   // all but those that say, with a score of 0 or less, that they have nothing
-  cover,      // until `share` of the weight that is in is covered
+  top,        // the best shards, as many as the upper bound allows
+  threshold,  // the shards with at least `ratio` times the best score
+  canMatch,   // all shards except those whose score of 0 or less reports that nothing matches
+  cover,      // the best shards until they cover `coverShare` of the weight that has answered
 };
 
-struct Prune {
+struct PruneSettings {
   Rule rule = Rule::top;
-  int most = 0;     // never more than so many; 0: no bound. With `top` it is the rule, and above 0
-  int atLeast = 1;  // nor fewer than so many, as far as there are ...
-  double leastShare =
-      0;             // ... nor less than this of the query's weight (with can-match: what has nothing counts)
-  double ratio = 0;  // threshold: of the best score, 0 to 1
-  double share = 1;  // cover: above 0, up to 1
-  // Whoever wrote the plan knows that what is left out could not have changed the answer. Can-match is so by
-  // itself, as long as `most` leaves nothing out.
+  int most = 0;       // upper bound under every rule; 0: none. The rule `top` requires one
+  int minShards = 1;  // lower bound, as far as that many shards have something to add
+  // Lower bound as a share of the query's weight. With `canMatch`, shards without a match count towards it.
+  double minimumShare = 0;
+  double ratio = 0;       // for `threshold`: fraction of the best score, 0 to 1
+  double coverShare = 1;  // for `cover`: above 0, up to 1
+  // The author of the plan guarantees that the shards left out could not change the answer. `canMatch`
+  // implies this as long as the upper bound leaves out no shard.
   bool lossless = false;
 };
 
 struct Phase {
-  std::string text;     // what its parts carry; empty: the query's own
-  double whole = 1.0;   // with so much in it is whole
-  double least = 1.0;   // with less in there is neither a second phase nor an answer from it
-  double claim = 0.5;   // on the query's time, as long as nothing has been learned
-  Prune prune;          // of the second phase
-  bool maySkip = true;  // of the second: the first's answer may stand in its place
-  bool mayCut = true;   // of the second: fewer shards than the rule picks may be asked, to be in time
+  std::string text;            // request text of its parts; empty: the query's own text
+  double completeShare = 1.0;  // with this share answered the phase is complete
+  double least = 1.0;   // below it the query neither continues with the next phase nor answers from this one
+  double claim = 0.5;   // share of the query's time, used as long as no latencies have been learned
+  PruneSettings prune;  // for the second phase: selects its shards
+  bool maySkip = true;  // for the second phase: the answer may come from the first phase instead
+  bool mayCut = true;   // for the second phase: may ask fewer shards than the rule selects, to be in time
 };
 
 struct Plan {
@@ -50,32 +50,33 @@
   bool two() const { return phases.size() > 1; }
 };
 
-// What is wrong with a plan, in one line, with the phase and the key; nothing: it is good. `floor` and `need`
-// are the class's least share and its share for a whole answer: a plan may ask for more, not for less.
-std::optional<std::string> problem(const Plan& plan, double need, double floor);
+// Validates a plan. Returns a one-line error that names the phase and the key, or nothing if the plan is
+// valid. `classRequiredShare` and `classMinimumShare` are the class's shares for a complete and for any
+// answer: a plan may require more, never less.
+std::optional<std::string> planError(const Plan& plan, double classRequiredShare, double classMinimumShare);
 
-// A part of a phase, as the host knows it.
+// One part of the current phase.
 struct Seen {
   int shard = 0;
   double weight = 0;
-  bool in = false;
-  long double score = 0;  // of what is in
+  bool answered = false;
+  long double score = 0;  // valid if answered
 };
 
-// Whether a score says that the shard has nothing to add.
-inline bool hasNothing(const Prune& prune, long double score) {
+// Whether the score reports that the shard has nothing to add in the second phase.
+inline bool hasNoMatch(const PruneSettings& prune, long double score) {
   return prune.rule == Rule::canMatch && score <= 0;
 }
 
 struct Picked {
-  std::vector<std::size_t> keep;  // places among the parts, best first
-  std::size_t least = 0;          // of these the first so many may not be cut, whatever the time
-  double nothing = 0;             // weight of what is in and has nothing
-  bool enough = true;             // there is as much in as `leastShare` wants
-  bool lossless = true;           // what is left out could not have changed the answer
+  std::vector<std::size_t> keep;  // indices into the parts, best score first
+  std::size_t minimumCount = 0;   // the first so many of them may not be cut, even if time is short
+  double noMatchWeight = 0;       // weight of the answered parts without a match
+  bool minimumMet = true;         // the answered parts suffice for PruneSettings::minimumShare
+  bool lossless = true;           // the shards left out could not have changed the answer
 };
-// What the second phase asks of what is in. Never below `atLeast`, nor below the second phase's least share
-// as far as the weight that is in goes.
+// Selects the shards of the second phase from the answered parts of the first. Keeps at least
+// PruneSettings::minShards and ::minimumShare, as far as the answered parts allow.
 Picked pick(const Phase& second, const std::vector<Seen>& parts);
 
 }  // namespace cometdeal::phases
--- a/src/phases/steps.hpp
+++ b/src/phases/steps.hpp
@@ -1,10 +1,10 @@
-// What to do next with a query in phases: a pure function of its plan, what is in, the time that is left and
-// how long parts usually take. The host carries it out; servers, copies and refusals are the decision
-// module's.
+// Decides what a query in phases does next: a pure function of its plan, the parts that have answered, the
+// time left and the usual latencies. The host executes the result; servers, hedges and refusals are up to the
+// decision module.
 //
-//   first phase:   wait -> (all in, or the second needs the rest of the time) -> the second, or an answer
-//
-//   second phase:  wait -> (all in, or the time is up) -> an answer from it, or from the first
+//   first phase:   wait -> (all answered, or the second phase needs the remaining time) -> second phase or
+//   answer second phase:  wait -> (all answered, or the time is up) -> answer from the second phase or from
+//   the first
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -18,52 +18,58 @@
 
 namespace cometdeal::phases {
 
-// By when so many parts of a phase (0 or 1) are all in, with a chance of so much, counted from the phase's
-// begin. Nothing: not known.
+// Estimates the time from the start of a phase (0 or 1) within which `parts` parts all answer with
+// probability `chance`. Nothing if it is unknown.
 using Needs = std::function<std::optional<Micros>(int phase, std::size_t parts, double chance)>;
 
 constexpr Micros kNever = INT64_MAX;
 
-// All on the host's clock.
+// Points in time on the host's clock, except `margin`.
 struct Times {
   Micros now = 0;
-  Micros begun = 0;   // the query, for claims
-  Micros aim = 0;     // an answer is worth most until then
-  Micros until = 0;   // and nothing from then on
-  Micros margin = 0;  // for the turn and the way to the client
+  Micros queryStart = 0;  // the time shares of the plan are fractions of the time from here
+  Micros aim = 0;         // an answer has its full worth until then
+  Micros until = 0;       // an answer has no worth from then on
+  Micros margin = 0;      // duration reserved for the turn and the way to the client
 };
 
+// What is known of the current phase.
 struct Sight {
-  int phase = 0;            // 0 or 1
-  std::vector<Seen> parts;  // of the present phase
-  bool stuck = false;       // nothing more comes of this phase, whatever the time
+  int phase = 0;  // 0 or 1
+  std::vector<Seen> parts;
+  bool stuck = false;  // no further part of this phase will answer
 };
 
 struct Step {
   enum class Kind : std::uint8_t {
-    wait,    // look again at `at` (kNever: no time changes anything), or when something is in
-    second,  // begin the second phase with `ask`
-    answer,  // from the second phase if `fromSecond`, else from the first
-    stay,    // cannot go on: the module decides on it
+    wait,    // evaluate again when a part answers, or at the given time (kNever: only when a part answers)
+    second,  // begin the second phase
+    answer,  // answer the query, from the phase that `fromSecond` selects
+    stay,    // no further part will answer, and too little has answered for any answer: the query fails
   };
-  enum class How : std::uint8_t { whole, early, late, stuck };             // how the present phase ended
-  enum class Second : std::uint8_t { none, whole, cut, skipped, failed };  // what became of the second
+  // How the current phase ended: with the plan's share for a complete phase; before that, to leave time for
+  // the second phase; because its time was up; because no further part would answer.
+  enum class How : std::uint8_t { whole, early, late, stuck };
+  // What became of the second phase: there is none to run (yet); all selected shards are asked; fewer are
+  // asked, for lack of time; it is not begun; it ran but the answer comes from the first phase.
+  enum class Second : std::uint8_t { none, whole, cut, skipped, failed };
   Kind kind = Kind::wait;
   Micros at = 0;
   How how = How::whole;
   Second second = Second::none;
-  std::vector<std::size_t> ask;  // places among the parts, best first
-  std::size_t picked = 0;        // by the rule, before any was cut
-  double nothing = 0;            // weight of what has nothing to add
-  bool lossless = true;          // what the rule left out could not have changed the answer
+  std::vector<std::size_t> ask;   // second phase: indices into the first phase's parts, best score first
+  std::size_t selectedCount = 0;  // shards that the plan's rule selects, before any were cut
+  double noMatchWeight = 0;       // weight of the parts that have nothing to add
+  bool lossless = true;           // the shards that the rule left out could not have changed the answer
   bool fromSecond = false;
 };
 
-// When the first phase is to be over, so that the second still fits: told to the module as its aim, so copies
-// draw on the phase's time.
+// When the first phase should be over, so that the second phase still fits. The module gets it as the phase's
+// aim, so it times hedges by it.
 Micros firstBy(const Plan& plan, std::size_t parts, const Times& t, const Needs& needs);
+// When the second phase should be over.
 Micros secondBy(const Times& t);
-// The share of a phase's weight without which nothing can be made of it.
+// The minimum share of a phase's weight that must answer for the phase to be of use.
 double leastOf(const Plan& plan, int phase);
 
 Step next(const Plan& plan, const Sight& sight, const Times& t, const Needs& needs);
