--- a/src/phases/latency.hpp
+++ b/src/phases/latency.hpp
@@ -18,9 +18,8 @@
   Latencies& operator=(const Latencies& other);
 
   // Records the time from the start of a phase to the answer of one of its parts, hedges and retries
-  // included. With `cutOff` the part was abandoned without an answer after `took`, which is only a lower
-  // bound of its time; it is recorded only above the 95th percentile, since shorter ones carry no
-  // information.
+  // included. With `cutOff` the part was abandoned without an answer after `took`, so its true time is
+  // longer. Such a lower bound is recorded only above the 95th percentile, since it says nothing below.
   void add(int cls, int phase, Micros took, Micros now, bool cutOff = false);
 
   // The time within which `parts` parts all answer with probability `chance` (0 to 1). Treats the times of
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -31,8 +31,7 @@
 
 constexpr Micros kMs = 1000;
 
-// Estimates in which a phase takes the given time with an even chance, and `tail` times as long with a high
-// one.
+// Estimates: the given time for an even chance, `tail` times as long for a high one.
 Needs fixedEstimates(Micros first, Micros second, double tail = 2) {
   return [=](int phase, std::size_t, double chance) -> std::optional<Micros> {
     return Micros(double(phase == 0 ? first : second) * (chance > 0.7 ? tail : 1));
@@ -128,8 +127,7 @@
   // No further part will answer: the second phase begins at once.
   s = next(plan, {0, threeOfFour, true}, timesAt(100 * kMs), fixedEstimates(100 * kMs, 100 * kMs));
   assert(s.kind == Kind::second && s.how == How::stuck);
-  // Below the minimum share the phase waits until the deadline, and is blocked if no further part will
-  // answer.
+  // Below the minimum share the phase waits until the deadline, or is blocked if no part will answer.
   s = next(plan, {0, oneOfFour, false}, timesAt(990 * kMs), fixedEstimates(100 * kMs, 100 * kMs));
   assert(s.kind == Kind::wait && s.at == 1975 * kMs);
   s = next(plan, {0, oneOfFour, true}, timesAt(990 * kMs), fixedEstimates(100 * kMs, 100 * kMs));
@@ -514,7 +512,7 @@
     }
     ++tally.answers;
     ++tally.secondPhases[account.second];
-    // The account is complete: each part that answered the first phase was asked, cut, pruned or had no
+    // The account is complete: each part that answered the first phase counts as asked, cut, pruned or no
     // match.
     const PhaseAccount& first = account.phases[0];
     assert(first.asked == int(asked.size()) && std::abs(first.weightIn - firstAnswered) < 1e-9);
