--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -7,7 +7,8 @@
 namespace cometdeal::net {
 namespace {
 
-constexpr std::size_t kHeadMost = 16UL * 1024;  // start line and headers; trailers too
+// Of the start line and headers together, of the trailers, and of a chunk size line.
+constexpr std::size_t kMaxHeadBytes = 16UL * 1024;
 constexpr std::string_view kTokenMarks = "!#$%&'*+-.^_`|~";
 
 bool isToken(std::string_view text) {
@@ -25,8 +26,8 @@
   for (char& c : out) c = char(std::tolower(static_cast<unsigned char>(c)));
   return out;
 }
-// Whether a list such as `close, Upgrade` names the word.
-bool names(std::string_view list, std::string_view word) {
+// Whether a comma-separated list such as `close, Upgrade` contains the word, in any case.
+bool listContains(std::string_view list, std::string_view word) {
   while (!list.empty()) {
     const std::size_t comma = std::min(list.find(','), list.size());
     if (lower(trim(list.substr(0, comma))) == word) return true;
@@ -53,12 +54,13 @@
   return State::bad;
 }
 
-// Collects up to the line's end, which is cut off. A head without an end must not grow without bound.
+// Collects a line, without its end, in line_. Returns false if the line is not complete yet, or if the bound
+// on the head's size is exceeded, without which a head that never ends would fill the memory.
 bool HttpParser::takeLine(std::string_view& in) {
   const std::size_t end = in.find('\n');
   const std::size_t taken = std::min(end, in.size());
   headBytes_ += taken + 1;
-  if (headBytes_ > kHeadMost) {
+  if (headBytes_ > kMaxHeadBytes) {
     fail(431);
     return false;
   }
@@ -90,7 +92,7 @@
     }
     switch (step_) {
       case Step::start:
-        if (!line_.empty()) onStart();  // empty lines ahead of a message are passed over
+        if (!line_.empty()) onStart();  // empty lines before a message are skipped
         break;
       case Step::headers:
         line_.empty() ? onHeadersEnd() : onHeader();
@@ -152,7 +154,7 @@
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos || !isToken(line.substr(0, colon))) return void(fail(400));
   const std::string_view value = trim(line.substr(colon + 1));
-  // A stray control character could end a line elsewhere, in a frame or in the log.
+  // A control character could be taken for a line end elsewhere, in a frame or in the log.
   if (!std::ranges::all_of(value, [](unsigned char c) { return c >= ' ' || c == '\t'; }))
     return void(fail(400));
   message_.headers.emplace_back(lower(line.substr(0, colon)), std::string(value));
@@ -164,11 +166,11 @@
   message_.keepAlive = !http10_;
   int hosts = 0;
   for (const auto& [name, value] : message_.headers) {
-    if (name == "connection" && names(value, "close")) message_.keepAlive = false;
+    if (name == "connection" && listContains(value, "close")) message_.keepAlive = false;
     if (name == "host") ++hosts;
     if (name == "content-length") {
       if (length && *length != value)
-        return void(fail(400));  // two lengths: where the next begins is a guess
+        return void(fail(400));  // different lengths: the start of the next message is ambiguous
       length = &value;
     }
     if (name == "transfer-encoding") {
@@ -178,16 +180,16 @@
   }
   if (kind_ == Kind::request && (hosts > 1 || (hosts == 0 && !http10_))) return void(fail(400));
   if (coding) {
-    if (length || http10_) return void(fail(400));  // the body may hide another request
+    if (length || http10_) return void(fail(400));  // ambiguous length: the body could hide another request
     if (lower(*coding) != "chunked") return void(fail(501));
     step_ = Step::chunkSize;
     return;
   }
   left_ = 0;
   if (length && !number(*length, 10, left_)) return void(fail(400));
-  if (left_ > bodyMost_) return void(fail(413));
+  if (left_ > maxBodyBytes_) return void(fail(413));
   if (!length && kind_ == Kind::response && message_.status != 204 && message_.status != 304)
-    return void(fail(400));  // up to the connection's end: no telling whether it is whole
+    return void(fail(400));  // the body would end with the connection: no way to tell if it is complete
   step_ = Step::length;
 }
 
@@ -195,7 +197,7 @@
   const std::string_view size = trim(std::string_view(line_).substr(0, line_.find(';')));
   std::size_t n = 0;
   if (!number(size, 16, n)) return void(fail(400));
-  if (n > bodyMost_ || message_.body.size() + n > bodyMost_) return void(fail(413));
+  if (n > maxBodyBytes_ || message_.body.size() + n > maxBodyBytes_) return void(fail(413));
   headBytes_ = 0;
   left_ = n;
   step_ = n == 0 ? Step::trailers : Step::chunkData;
--- a/src/http/http.hpp
+++ b/src/http/http.hpp
@@ -1,4 +1,5 @@
-// HTTP/1.1 messages: an incremental parser for requests and responses, and writers. No I/O.
+// HTTP/1.1 and 1.0 messages: an incremental parser for requests and responses, and functions that write them.
+// No I/O.
 #pragma once
 
 #include <string>
@@ -13,24 +14,28 @@
   int status = 0;                                            // of a response
   std::vector<std::pair<std::string, std::string>> headers;  // names in lower case
   std::string body;
-  bool keepAlive = true;
+  bool keepAlive = true;  // the connection can be used for another message
 
+  // The first header of that name, given in lower case; nullptr: none.
   const std::string* header(std::string_view lowerName) const;
 };
 
+// Parses one message after another from the bytes received on a connection.
 class HttpParser {
  public:
   enum class Kind { request, response };
   enum class State { more, done, bad };
 
-  explicit HttpParser(Kind kind, std::size_t bodyMost = 64UL * 1024) : kind_(kind), bodyMost_(bodyMost) {}
+  explicit HttpParser(Kind kind, std::size_t maxBodyBytes = 64UL * 1024)
+      : kind_(kind), maxBodyBytes_(maxBodyBytes) {}
 
-  // Takes from the front of `in` what belongs to the present message and no more. After `done` the message
-  // can be taken, and the parser begins anew; after `bad` nothing more is read.
+  // Removes from the front of `in` the bytes that belong to the current message, and no more. After `done`,
+  // take() returns the message and the parser starts over; after `bad` no more bytes are read.
   State feed(std::string_view& in);
   HttpMessage take();
+  // Whether some bytes of the current message have been read.
   bool begun() const { return step_ != Step::start || !line_.empty(); }
-  int errorStatus() const { return error_; }  // after `bad`: what to answer a request with
+  int errorStatus() const { return error_; }  // after `bad`: the HTTP status to reject the request with
 
  private:
   enum class Step { start, headers, length, chunkSize, chunkData, chunkEnd, trailers, done, bad };
@@ -42,15 +47,17 @@
   void onChunkSize();
 
   Kind kind_;
-  std::size_t bodyMost_;
+  std::size_t maxBodyBytes_;
   Step step_ = Step::start;
   std::string line_;
-  std::size_t headBytes_ = 0, left_ = 0;
+  std::size_t headBytes_ = 0;  // read of the start line and headers, or of trailers
+  std::size_t left_ = 0;       // bytes still missing of the body or of the current chunk
   bool http10_ = false;
   int error_ = 0;
   HttpMessage message_;
 };
 
+// `extraHeaders`: whole lines, each with its line end. `close`: the connection is closed after this response.
 std::string writeResponse(int status, std::string_view extraHeaders, std::string_view body, bool close);
 std::string writeGet(std::string_view target, std::string_view host);
 
--- a/src/leaf/frame/frame.cpp
+++ b/src/leaf/frame/frame.cpp
@@ -8,10 +8,10 @@
 namespace cometdeal::net {
 namespace {
 
-// Messages to clients hold 64 KiB at the most, so no value is longer. A length beyond this is no frame of
-// ours.
-constexpr std::uint32_t kFrameMost = 65 * 1024;
-constexpr std::size_t kLineMost = 1024;  // of an answer's first line, which may else never end
+// Messages to clients hold at most 64 KiB, so no value is longer. A frame with a greater length is malformed.
+constexpr std::uint32_t kMaxFrameBytes = 65 * 1024;
+// Of an answer's first line: without a bound, a line with no end would be waited for.
+constexpr std::size_t kMaxLineBytes = 1024;
 
 template <typename T>
 bool number(std::string_view text, T& out) {
@@ -19,7 +19,8 @@
   return !text.empty() && ec == std::errc() && end == text.data() + text.size();
 }
 
-// A report that can't be read tells nothing, and takes nothing from the answer that it came with.
+// The load report of an answer: `inflight=N,queue=N`. None if it is malformed; the answer counts all the
+// same.
 std::optional<LoadReport> readReport(std::string_view report) {
   LoadReport load;
   while (!report.empty()) {
@@ -36,27 +37,27 @@
   return load;
 }
 
-// A value stands in a JSON answer unchanged or not at all.
+// Values are put into JSON unchanged, so they have to be valid UTF-8.
 bool isUtf8(std::string_view text) {
   for (std::size_t k = 0; k < text.size();) {
     const auto byte = [&](std::size_t at) {
       return at < text.size() ? static_cast<unsigned char>(text[at]) : 0u;
     };
     const unsigned first = byte(k);
-    const int more = first < 0x80       ? 0
-                     : first >> 5 == 6  ? 1
-                     : first >> 4 == 14 ? 2
-                     : first >> 3 == 30 ? 3
-                                        : -1;
-    if (more < 0) return false;
-    unsigned code = more == 0 ? first : first & (0x3fu >> more);
-    for (int j = 1; j <= more; ++j) {
+    const int following = first < 0x80       ? 0
+                          : first >> 5 == 6  ? 1
+                          : first >> 4 == 14 ? 2
+                          : first >> 3 == 30 ? 3
+                                             : -1;
+    if (following < 0) return false;
+    unsigned code = following == 0 ? first : first & (0x3fu >> following);
+    for (int j = 1; j <= following; ++j) {
       if (byte(k + std::size_t(j)) >> 6 != 2) return false;
       code = code << 6 | (byte(k + std::size_t(j)) & 0x3f);
     }
-    static constexpr unsigned least[4] = {0, 0x80, 0x800, 0x10000};
-    if (code < least[more] || code > 0x10ffff || (code >= 0xd800 && code < 0xe000)) return false;
-    k += std::size_t(more) + 1;
+    static constexpr unsigned minCode[4] = {0, 0x80, 0x800, 0x10000};
+    if (code < minCode[following] || code > 0x10ffff || (code >= 0xd800 && code < 0xe000)) return false;
+    k += std::size_t(following) + 1;
   }
   return true;
 }
@@ -85,28 +86,29 @@
   const std::string_view rest = frame.rest;
   const std::size_t end = rest.find('\n');
   if (frame.letter != 'O' || end == std::string_view::npos) return std::nullopt;
-  std::string_view words[4], line = rest.substr(0, end);
+  std::string_view fields[4], line = rest.substr(0, end);
   for (int k = 0; k < 4; ++k) {
     const std::size_t space = line.find(' ');
     if (k < 3 && space == std::string_view::npos) return std::nullopt;
-    words[k] = line.substr(0, k < 3 ? space : line.size());
-    if (words[k].empty() && k < 3) return std::nullopt;
+    fields[k] = line.substr(0, k < 3 ? space : line.size());
+    if (fields[k].empty() && k < 3) return std::nullopt;
     line.remove_prefix(k < 3 ? space + 1 : line.size());
   }
   LeafAnswer out;
-  out.id = words[0];
-  if (words[1] == "200")
+  out.id = fields[0];
+  if (fields[1] == "200")
     out.outcome = Outcome::done;
-  else if (words[1] == "500")
+  else if (fields[1] == "500")
     out.outcome = Outcome::error;
-  else if (words[1] == "503")
+  else if (fields[1] == "503")
     out.outcome = Outcome::busy;
   else
     return std::nullopt;
-  if (!number(words[2], out.score) && words[2] != "-") return std::nullopt;
-  if (words[3] != "-" && !words[3].empty()) out.load = readReport(words[3]);
+  if (!number(fields[2], out.score) && fields[2] != "-") return std::nullopt;
+  if (fields[3] != "-" && !fields[3].empty()) out.load = readReport(fields[3]);
   out.value = rest.substr(end + 1);
-  // A frame that claims to be longer than it is takes in the next one's head, whose length holds a zero byte.
+  // A frame whose length is too great includes the header of the next frame, whose length contains a zero
+  // byte.
   if (out.value.find('\0') != std::string::npos || !isUtf8(out.value)) return std::nullopt;
   return out;
 }
@@ -120,12 +122,13 @@
   std::uint32_t length = 0;
   for (int k = 0; k < 4; ++k)
     length |= std::uint32_t(static_cast<unsigned char>(buffer_[from_ + std::size_t(k)])) << (8 * k);
-  if (length == 0 || length > kFrameMost) return State::bad;
-  // What can be seen to be no frame is not waited for: it would take in the answers behind it.
-  const std::string_view begun = std::string_view(buffer_).substr(from_ + 4, std::size_t(length));
-  if (!begun.empty() && letters_.find(begun[0]) == std::string_view::npos) return State::bad;
-  if (begun.size() > kLineMost && begun[0] == 'O' &&
-      begun.substr(0, kLineMost).find('\n') == std::string_view::npos)
+  if (length == 0 || length > kMaxFrameBytes) return State::bad;
+  // A frame that is visibly malformed is rejected before it is complete: it would swallow the answers after
+  // it.
+  const std::string_view received = std::string_view(buffer_).substr(from_ + 4, std::size_t(length));
+  if (!received.empty() && letters_.find(received[0]) == std::string_view::npos) return State::bad;
+  if (received.size() > kMaxLineBytes && received[0] == 'O' &&
+      received.substr(0, kMaxLineBytes).find('\n') == std::string_view::npos)
     return State::bad;
   if (buffer_.size() - from_ < 4 + std::size_t(length)) {
     buffer_.erase(0, from_);
--- a/src/leaf/frame/frame.hpp
+++ b/src/leaf/frame/frame.hpp
@@ -1,4 +1,7 @@
-// Frames between a mixer and leaf servers. No I/O.
+// The frames between a mixer and leaf servers: encoding, decoding and an incremental reader. No I/O.
+//
+// A frame is a length (4 bytes, little-endian, of what follows), a letter that names its kind, and the
+// content.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -12,29 +15,36 @@
 namespace cometdeal::net {
 
 struct Frame {
-  char letter = 0;
-  std::string rest;
+  char letter = 0;   // the kind
+  std::string rest;  // the content after the letter
 };
 
+// The bytes of a frame.
 std::string writeFrame(char letter, std::string_view rest);
-// One part of a call: `ID SHARD LIST LENGTH`, a line end and the text.
+// One part of a call: the line `ID SHARD LIST LENGTH`, then the text. `list`: comma-separated fields such as
+// `d=MS`, the time that is left.
 std::string writePart(std::string_view id, int shard, std::string_view list, std::string_view text);
+// The answer in a frame with letter O: the line `ID STATUS SCORE REPORT`, then the value. None if it is
+// malformed.
 std::optional<LeafAnswer> readAnswer(const Frame& frame);
 
+// Splits the bytes that are received on a connection into frames.
 class FrameReader {
  public:
   enum class State { more, frame, bad };
-  // `letters`: of the frames that may come from the other side.
+  // `letters`: the kinds of frames that the other side may send.
   explicit FrameReader(std::string_view letters = "OZIU") : letters_(letters) {}
   void append(std::string_view bytes) { buffer_.append(bytes); }
+  // Reads the next frame into `out` if it is complete. After `bad` the connection is of no more use.
   State next(Frame& out);
-  bool partial() const { return buffer_.size() > from_; }  // after `more`: a frame has begun to come
+  bool partial() const { return buffer_.size() > from_; }  // after `more`: a frame is received in part
+  // The bytes that are not read as frames yet; for the checker.
   std::string_view held() const { return std::string_view(buffer_).substr(from_); }
 
  private:
   std::string_view letters_;
   std::string buffer_;
-  std::size_t from_ = 0;
+  std::size_t from_ = 0;  // where the next frame begins in the buffer
 };
 
 }  // namespace cometdeal::net
--- a/src/leaf/frame/links.cpp
+++ b/src/leaf/frame/links.cpp
@@ -6,13 +6,16 @@
 namespace cometdeal::net {
 namespace {
 
+// The constants of TCP's retransmission time-out (RFC 6298).
 constexpr double kSilentDeviations = 4.0, kMeanGain = 0.125, kDeviationGain = 0.25;
-// What was given up is not answered, so a few such say nothing of a connection that nothing is waited for on.
-constexpr int kUnansweredFew = 2;
-// So many answers on a newer connection tell that the server is well and the silent one is dead.
-constexpr int kProofs = 2;
-constexpr double kBreakSpan = 2e6;      // microseconds in which breaks are forgotten to a third
-constexpr std::size_t kHeadBytes = 96;  // of a part's line, about
+// Abandoned parts get no answer, so on a connection with no other parts a few unanswered sends do not
+// indicate silence.
+constexpr int kUnansweredTolerated = 2;
+// After so many answers in a row on a newer connection the server is taken to be alive and an older, silent
+// connection to it to be dead.
+constexpr int kAnswersToCloseOlder = 2;
+constexpr double kBreakDecayUs = 2e6;  // time constant with which the count of broken connections decays
+constexpr std::size_t kPartHeaderBytes = 96;  // of the line before a part's text, approximate
 
 }  // namespace
 
@@ -21,50 +24,51 @@
   out.connectTimeout = host.connectTimeout;
   out.connIdle = settings.connIdle.value_or(0);
   out.streams = host.streams;
-  out.bundleMost = settings.bundleMax;
+  out.maxPartsPerCall = settings.bundleMax;
   out.linksMost = linksMost;
   return out;
 }
 
-// ---- The list --------------------------------------------------------------------------------------------
+// ---- The list of leaf servers ----------------------------------------------------------------------------
 
 void Links::update(const LeafEntry& entry) {
   Server& s = servers_[entry.name];
-  const bool moved = entry.state != ServerState::gone && s.entry.address != entry.address;
-  const Address old = s.entry.address;
+  const bool addressChanged = entry.state != ServerState::gone && s.entry.address != entry.address;
+  const Address previousAddress = s.entry.address;
   s.entry = entry;
-  if (entry.state == ServerState::gone && entry.address.port == 0) s.entry.address = old;
-  const std::vector<Handle> held = s.links;
-  for (const Handle h : held) {
-    Link* c = links_.get(h);
+  if (entry.state == ServerState::gone && entry.address.port == 0) s.entry.address = previousAddress;
+  const std::vector<Handle> handles = s.connections;
+  for (const Handle h : handles) {
+    Connection* c = connections_.get(h);
     if (!c) continue;
-    // What no byte of is out has not been sent, and must not be once its server is told to drain.
-    if (entry.state != ServerState::serving && !PLANTED(drainCrossesSend)) dropWaiting(*c);
-    // From before its server's last start nothing more comes on a connection, even where no reset has told
-    // so; the list is late, so one that is newer than that start stays.
-    if (c->state == LinkState::up && entry.sinceMs > c->upAtMs)
-      lost(*c, "its server has restarted", true);
-    else if (c->streams == 0 && (moved || entry.state == ServerState::gone))
-      lost(*c, "its server has moved or gone", true);
+    // A part none of whose bytes is written counts as not sent, and must not be sent to a draining server.
+    if (entry.state != ServerState::serving && !PLANTED(drainCrossesSend)) failWaiting(*c);
+    // On a connection that is older than its server's last start no more answers arrive, even if no reset was
+    // received. The list lags behind, so the connection may also be newer than that start; then it is kept.
+    if (c->state == ConnectionState::up && entry.sinceMs > c->upAtMs)
+      closeConnection(*c, "the server has restarted", true);
+    else if (c->streams == 0 && (addressChanged || entry.state == ServerState::gone))
+      closeConnection(*c, "the server has another address or was removed", true);
   }
-  drop(entry.name);
+  forgetRemovedServer(entry.name);
 }
 
 void Links::keepOnly(const std::vector<LeafEntry>& entries) {
-  std::vector<LeafEntry> gone;
-  for (const auto& held : servers_)
-    if (std::ranges::none_of(entries, [&](const LeafEntry& e) { return e.name == held.first; }))
-      gone.push_back(held.second.entry);
-  for (LeafEntry& entry : gone) {
+  std::vector<LeafEntry> removed;
+  for (const auto& known : servers_)
+    if (std::ranges::none_of(entries, [&](const LeafEntry& e) { return e.name == known.first; }))
+      removed.push_back(known.second.entry);
+  for (LeafEntry& entry : removed) {
     entry.state = ServerState::gone;
     update(entry);
   }
 }
 
-// Servers that are replaced go under new ids: what is gone and has no connection left is forgotten.
-void Links::drop(const std::string& server) {
+// A server that is replaced comes back under a new id, so the entry of a removed server is erased once its
+// last connection is closed; otherwise the map would grow without bound.
+void Links::forgetRemovedServer(const std::string& server) {
   const auto at = servers_.find(server);
-  if (at != servers_.end() && at->second.entry.state == ServerState::gone && at->second.links.empty())
+  if (at != servers_.end() && at->second.entry.state == ServerState::gone && at->second.connections.empty())
     servers_.erase(at);
 }
 
@@ -72,486 +76,504 @@
 
 void Links::send(const std::string& server, std::vector<Call> calls) {
   while (!calls.empty()) {
-    const std::size_t n = std::min(calls.size(), std::size_t(std::max(1, limits_.bundleMost)));
+    const std::size_t n = std::min(calls.size(), std::size_t(std::max(1, limits_.maxPartsPerCall)));
     std::vector<Call> bundle(std::make_move_iterator(calls.begin()),
                              std::make_move_iterator(calls.begin() + std::ptrdiff_t(n)));
     calls.erase(calls.begin(), calls.begin() + std::ptrdiff_t(n));
     const auto at = servers_.find(server);
-    Link* c = nullptr;
+    Connection* c = nullptr;
     if (at != servers_.end() && (at->second.entry.state == ServerState::serving || PLANTED(drainCrossesSend)))
-      c = pick(at->second, bundle);
+      c = pickConnection(at->second, bundle);
     if (!c) {
-      for (const Call& call : bundle) end(call.attempt, Outcome::connectFailed);
+      for (const Call& call : bundle) endAttempt(call.attempt, Outcome::connectFailed);
       continue;
     }
-    Item item;
+    QueuedFrame frame;
     for (const Call& call : bundle) {
-      places_[number(call.attempt)] = {c->self, call.id};
-      c->out[call.id] = Out{call.attempt, SendState::waiting, false, now_};
-      c->queued += call.text->size() + kHeadBytes;
+      attempts_[number(call.attempt)] = {c->self, call.id};
+      c->parts[call.id] = PartState{call.attempt, SendState::waiting, false, now_};
+      c->queuedBytes += call.text->size() + kPartHeaderBytes;
     }
     c->streams += int(bundle.size());
-    item.calls = std::move(bundle);
-    c->queue.push_back(std::move(item));
-    if (c->queued > limits_.queueMost) {
-      lost(*c, "does not read", false);
+    frame.calls = std::move(bundle);
+    c->queue.push_back(std::move(frame));
+    if (c->queuedBytes > limits_.maxQueuedBytes) {
+      closeConnection(*c, "the send queue is full: the server does not read", false);
       continue;
     }
-    if (c->state == LinkState::up) effects_.push_back(Flush{c->self});
+    if (c->state == ConnectionState::up) effects_.push_back(Flush{c->self});
   }
 }
 
-// The first connection with room; where connections break, the one with the least on it, for a break costs
-// all that is there. One that may yet bring the answer of an earlier attempt of a part is not taken for a
-// newer one: both would have the same id.
-Links::Link* Links::pick(Server& server, const std::vector<Call>& calls) {
-  Link* quiet = nullptr;
-  Link* least = nullptr;
-  int silents = 0, held = 0;
-  const bool spread = spreads();
-  for (const Handle h : server.links) {
-    Link* c = links_.get(h);
+// Returns the first connection with free capacity. While connections break often, returns the one with the
+// fewest parts instead, since a break fails every part on the connection. A connection on which the answer of
+// an earlier attempt of a part may still arrive is not used for a newer attempt: both have the same id.
+Links::Connection* Links::pickConnection(Server& server, const std::vector<Call>& calls) {
+  Connection* firstSilent = nullptr;
+  Connection* leastLoaded = nullptr;
+  int silentCount = 0, usableCount = 0;
+  const bool spread = shouldSpread();
+  for (const Handle h : server.connections) {
+    Connection* c = connections_.get(h);
     if (!c || c->address != server.entry.address) continue;
     if (c->streams + int(calls.size()) > limits_.streams) continue;
-    if (c->reader.partial() && c->streams == 0) continue;  // noise: nothing was to come
+    if (c->reader.partial() && c->streams == 0) continue;  // unexpected bytes
     if (!PLANTED(sharedId) &&
-        std::ranges::any_of(calls, [&](const Call& call) { return c->out.contains(call.id); }))
+        std::ranges::any_of(calls, [&](const Call& call) { return c->parts.contains(call.id); }))
       continue;
-    if (silent(*c)) {
-      if (!quiet) quiet = c;
-      ++silents;
+    if (isSilent(*c)) {
+      if (!firstSilent) firstSilent = c;
+      ++silentCount;
       continue;
     }
     if (!spread) return c;
-    ++held;
-    if (!least || c->streams < least->streams) least = c;
+    ++usableCount;
+    if (!leastLoaded || c->streams < leastLoaded->streams) leastLoaded = c;
   }
-  if (least &&
-      (least->streams == 0 || held >= limits_.spreadMost || int(links_.size()) * 4 >= limits_.linksMost * 3))
-    return least;
-  // A connection may have died unseen while its server is well. One more tells; if that is silent too, it is
-  // the server, and its further connections would be.
-  if (silents > 1) return least ? least : quiet;
-  Link* fresh = open(server);
-  return fresh ? fresh : least ? least : quiet;
+  if (leastLoaded && (leastLoaded->streams == 0 || usableCount >= limits_.maxSpreadConnections ||
+                      int(connections_.size()) * 4 >= limits_.linksMost * 3))
+    return leastLoaded;
+  // A connection can be dead without notice while its server is well, so one more is opened. If that one is
+  // silent too, the fault is with the server, and further connections to it would be silent as well.
+  if (silentCount > 1) return leastLoaded ? leastLoaded : firstSilent;
+  Connection* opened = openConnection(server);
+  return opened ? opened : leastLoaded ? leastLoaded : firstSilent;
 }
 
-bool Links::spreads() const {
+bool Links::shouldSpread() const {
   return limits_.spreadAfter > 0 &&
-         breaks_ * std::exp(-double(now_ - breaksAt_) / kBreakSpan) >= limits_.spreadAfter;
+         recentBreaks_ * std::exp(-double(now_ - lastBreakAt_) / kBreakDecayUs) >= limits_.spreadAfter;
 }
 
-bool Links::silent(const Link& c) const {
-  if (c.owesSince == 0 || (c.streams == 0 && c.unanswered <= kUnansweredFew)) return false;
-  const double usual = meanTime_ + kSilentDeviations * deviation_;
-  return now_ - c.owesSince > std::clamp(Micros(usual), limits_.silentLeast, limits_.silentMost);
+bool Links::isSilent(const Connection& c) const {
+  if (c.outstandingSince == 0 || (c.streams == 0 && c.sendsSinceReceived <= kUnansweredTolerated))
+    return false;
+  const double threshold = meanAnswerTime_ + kSilentDeviations * answerTimeDeviation_;
+  return now_ - c.outstandingSince > std::clamp(Micros(threshold), limits_.silentLeast, limits_.silentMost);
 }
 
-// True if no byte of the part was out: then it is as if it had never been on the connection.
-bool Links::takeBack(Link& c, const std::string& id) {
-  const auto out = c.out.find(id);
-  if (out == c.out.end() || out->second.state != SendState::waiting) return false;
-  for (auto item = c.queue.begin(); item != c.queue.end(); ++item) {
-    const auto n = std::erase_if(item->calls, [&](const Call& call) {
+// Removes a part that is still waiting, as if it had never been on the connection. Returns false, and changes
+// nothing, if the part is not on the connection or some of its bytes are written.
+bool Links::removeWaiting(Connection& c, const std::string& id) {
+  const auto part = c.parts.find(id);
+  if (part == c.parts.end() || part->second.state != SendState::waiting) return false;
+  for (auto frame = c.queue.begin(); frame != c.queue.end(); ++frame) {
+    const auto n = std::erase_if(frame->calls, [&](const Call& call) {
       if (call.id != id) return false;
-      c.queued -= std::min(c.queued, call.text->size() + kHeadBytes);
+      c.queuedBytes -= std::min(c.queuedBytes, call.text->size() + kPartHeaderBytes);
       return true;
     });
     if (n == 0) continue;
-    if (item->calls.empty()) c.queue.erase(item);
+    if (frame->calls.empty()) c.queue.erase(frame);
     break;
   }
-  if (!out->second.dead) --c.streams;
-  c.out.erase(out);
+  if (!part->second.abandoned) --c.streams;
+  c.parts.erase(part);
   return true;
 }
 
-void Links::dropWaiting(Link& c) {
+// Ends the attempts that are still waiting as not sent.
+void Links::failWaiting(Connection& c) {
   std::vector<std::pair<std::string, Handle>> waiting;
-  for (const auto& [id, out] : c.out)
-    if (out.state == SendState::waiting) waiting.emplace_back(id, out.attempt);
+  for (const auto& [id, part] : c.parts)
+    if (part.state == SendState::waiting) waiting.emplace_back(id, part.attempt);
   for (const auto& [id, attempt] : waiting) {
-    takeBack(c, id);
-    end(attempt, Outcome::connectFailed);
+    removeWaiting(c, id);
+    endAttempt(attempt, Outcome::connectFailed);
   }
 }
 
-// A call may have waited in the queue until it must not begin any more.
-void Links::dropOverdue(Link& c) {
-  while (!c.queue.empty() && c.queue.front().done == 0) {
+// Ends attempts at the front of the queue whose time to begin (`startBy`) has passed.
+void Links::failOverdue(Connection& c) {
+  while (!c.queue.empty() && c.queue.front().written == 0) {
     const std::vector<Call>& calls = c.queue.front().calls;
     const auto late = std::ranges::find_if(calls, [&](const Call& call) { return now_ >= call.startBy; });
     if (late == calls.end()) return;
     const Handle attempt = late->attempt;
-    takeBack(c, std::string(late->id));
-    end(attempt, Outcome::connectFailed);
+    removeWaiting(c, std::string(late->id));
+    endAttempt(attempt, Outcome::connectFailed);
   }
 }
 
 void Links::giveUp(Handle attempt) {
-  const auto at = places_.find(number(attempt));
-  if (at == places_.end()) return;
-  const Place place = at->second;
-  places_.erase(at);
-  Link* c = links_.get(place.link);
+  const auto at = attempts_.find(number(attempt));
+  if (at == attempts_.end()) return;
+  const Location location = at->second;
+  attempts_.erase(at);
+  Connection* c = connections_.get(location.connection);
   if (!c) return;
-  const auto out = c->out.find(place.id);
-  if (out == c->out.end() || out->second.attempt != attempt || takeBack(*c, place.id)) return;
-  if (!PLANTED(stallMeetsTimeout)) out->second.dead = true;
+  const auto part = c->parts.find(location.id);
+  if (part == c->parts.end() || part->second.attempt != attempt || removeWaiting(*c, location.id)) return;
+  if (!PLANTED(stallMeetsTimeout)) part->second.abandoned = true;
   --c->streams;
-  Item item;
-  item.bytes = writeFrame('K', place.id);
-  c->queued += item.bytes.size();
-  c->queue.push_back(std::move(item));
-  if (c->queued > limits_.queueMost) return lost(*c, "does not read", false);
-  if (c->state == LinkState::up) effects_.push_back(Flush{c->self});
+  QueuedFrame frame;
+  frame.bytes = writeFrame('K', location.id);
+  c->queuedBytes += frame.bytes.size();
+  c->queue.push_back(std::move(frame));
+  if (c->queuedBytes > limits_.maxQueuedBytes)
+    return closeConnection(*c, "the send queue is full: the server does not read", false);
+  if (c->state == ConnectionState::up) effects_.push_back(Flush{c->self});
 }
 
-// After a final answer nothing of its query begins to go out.
+// The query has its final answer: a part of it that is still waiting is not sent any more.
 void Links::withdraw(Handle attempt) {
-  const auto at = places_.find(number(attempt));
-  if (at == places_.end()) return;
+  const auto at = attempts_.find(number(attempt));
+  if (at == attempts_.end()) return;
   if (PLANTED(sendAfterAnswer)) return;
-  Link* c = links_.get(at->second.link);
-  if (!c || !takeBack(*c, at->second.id)) return;
+  Connection* c = connections_.get(at->second.connection);
+  if (!c || !removeWaiting(*c, at->second.id)) return;
   count(Count::withdrawn);
-  end(attempt, Outcome::cancelled);
+  endAttempt(attempt, Outcome::cancelled);
 }
 
 void Links::forget(const std::string& id) {
-  for (const Handle h : links_.all()) {
-    Link* c = links_.get(h);
-    const auto at = c->out.find(id);
-    // What is only begun still has to go out whole, and its end is seen by its id.
-    if (at == c->out.end() || !at->second.dead || at->second.state != SendState::written) continue;
-    remember(*c, id);
-    c->out.erase(at);
+  for (const Handle h : connections_.all()) {
+    Connection* c = connections_.get(h);
+    const auto at = c->parts.find(id);
+    // A part that is begun must still be written completely, and wrote() finds it by its id.
+    if (at == c->parts.end() || !at->second.abandoned || at->second.state != SendState::written) continue;
+    addPastId(*c, id);
+    c->parts.erase(at);
   }
 }
 
-void Links::end(Handle attempt, Outcome outcome, LeafAnswer answer) {
-  places_.erase(number(attempt));
+void Links::endAttempt(Handle attempt, Outcome outcome, LeafAnswer answer) {
+  attempts_.erase(number(attempt));
   effects_.push_back(Ended{attempt, outcome, std::move(answer)});
 }
 
 // ---- Connections -----------------------------------------------------------------------------------------
 
-// At the bound an idle connection gives way, or the descriptors that it holds would fail a part.
-bool Links::makeRoom() {
-  Link* oldest = nullptr;
-  for (const Handle h : links_.all()) {
-    Link* c = links_.get(h);
-    if (c->state == LinkState::up && c->streams == 0 && (!oldest || c->order < oldest->order)) oldest = c;
+// Called at the limit of connections: an idle one is closed so that its descriptor does not make a part fail.
+// Returns false if no connection is idle.
+bool Links::closeOldestIdle() {
+  Connection* oldest = nullptr;
+  for (const Handle h : connections_.all()) {
+    Connection* c = connections_.get(h);
+    if (c->state == ConnectionState::up && c->streams == 0 && (!oldest || c->openOrder < oldest->openOrder))
+      oldest = c;
   }
-  if (oldest) lost(*oldest, "makes room for another", true);
+  if (oldest) closeConnection(*oldest, "idle, closed for another connection", true);
   return oldest != nullptr;
 }
 
-Links::Link* Links::open(Server& server) {
-  if (int(links_.size()) >= limits_.linksMost && !makeRoom()) return nullptr;
-  const Handle h = links_.add();
-  Link* c = links_.get(h);
+Links::Connection* Links::openConnection(Server& server) {
+  if (int(connections_.size()) >= limits_.linksMost && !closeOldestIdle()) return nullptr;
+  const Handle h = connections_.add();
+  Connection* c = connections_.get(h);
   c->self = h;
-  c->order = ++opened_;
+  c->openOrder = ++openedCount_;
   c->server = server.entry.name;
   c->address = server.entry.address;
   count(Count::leafConnections);
-  server.links.push_back(h);
-  c->deadline = agenda_.add(now_ + limits_.connectTimeout, {Due::Kind::connect, h});
+  server.connections.push_back(h);
+  c->timeout = timers_.add(now_ + limits_.connectTimeout, {Timer::Kind::connectTimeout, h});
   effects_.push_back(Open{h, c->address});
   return c;
 }
 
-void Links::cameUp(Handle link, std::int64_t unixMs) {
-  Link* c = links_.get(link);
-  if (!c || c->state != LinkState::connecting) return;
-  c->state = LinkState::up;
+void Links::cameUp(Handle connection, std::int64_t unixMs) {
+  Connection* c = connections_.get(connection);
+  if (!c || c->state != ConnectionState::connecting) return;
+  c->state = ConnectionState::up;
   c->upAtMs = unixMs;
-  touch(*c);
-  effects_.push_back(Flush{link});
+  restartIdleTimeout(*c);
+  effects_.push_back(Flush{connection});
 }
 
-std::string_view Links::front(Handle link) {
-  Link* c = links_.get(link);
-  if (!c || c->state != LinkState::up || c->blocked) return {};
-  dropOverdue(*c);
+std::string_view Links::front(Handle connection) {
+  Connection* c = connections_.get(connection);
+  if (!c || c->state != ConnectionState::up || c->blocked) return {};
+  failOverdue(*c);
   if (c->queue.empty()) return {};
-  Item& item = c->queue.front();
-  if (!item.calls.empty() && item.done == 0) {
+  QueuedFrame& frame = c->queue.front();
+  if (!frame.calls.empty() && frame.written == 0) {
     std::string rest;
-    for (const Call& call : item.calls) {
+    for (const Call& call : frame.calls) {
       const Micros left = std::max<Micros>(1, (call.until - now_) / 1000);
       rest += writePart(call.id, call.shard, "d=" + std::to_string(left) + call.list, *call.text);
     }
-    item.bytes = writeFrame('D', rest);
+    frame.bytes = writeFrame('D', rest);
   }
-  return std::string_view(item.bytes).substr(item.done);
+  return std::string_view(frame.bytes).substr(frame.written);
 }
 
-// It must be known how many bytes the system had taken when a connection breaks: this tells "could not
-// connect" from "reset".
-void Links::wrote(Handle link, std::size_t bytes) {
-  Link* c = links_.get(link);
+// Tracks how many bytes of each part the kernel has accepted: when the connection breaks, that distinguishes
+// "could not connect" (the part cannot have run) from "reset".
+void Links::wrote(Handle connection, std::size_t bytes) {
+  Connection* c = connections_.get(connection);
   if (!c || bytes == 0 || c->queue.empty()) return;
-  touch(*c);
-  Item& item = c->queue.front();
-  const bool first = item.done == 0, call = !item.calls.empty();
-  item.done += bytes;
-  if (call && first) {
-    if (c->owesSince == 0) c->owesSince = now_;
-    c->unanswered += int(item.calls.size());
-    for (const Call& one : item.calls) {
-      const auto out = c->out.find(one.id);
-      if (out == c->out.end()) continue;
-      out->second.state = SendState::begun;
-      out->second.sentAt = now_;
+  restartIdleTimeout(*c);
+  QueuedFrame& frame = c->queue.front();
+  const bool firstBytes = frame.written == 0, isCall = !frame.calls.empty();
+  frame.written += bytes;
+  if (isCall && firstBytes) {
+    if (c->outstandingSince == 0) c->outstandingSince = now_;
+    c->sendsSinceReceived += int(frame.calls.size());
+    for (const Call& call : frame.calls) {
+      const auto part = c->parts.find(call.id);
+      if (part == c->parts.end()) continue;
+      part->second.state = SendState::begun;
+      part->second.sentAt = now_;
     }
   }
-  if (item.done < item.bytes.size()) return;
-  for (const Call& one : item.calls) {
+  if (frame.written < frame.bytes.size()) return;
+  for (const Call& call : frame.calls) {
     count(Count::forwards);
-    c->queued -= std::min(c->queued, one.text->size() + kHeadBytes);
-    if (const auto out = c->out.find(one.id); out != c->out.end()) out->second.state = SendState::written;
+    c->queuedBytes -= std::min(c->queuedBytes, call.text->size() + kPartHeaderBytes);
+    if (const auto part = c->parts.find(call.id); part != c->parts.end())
+      part->second.state = SendState::written;
   }
-  if (!call) c->queued -= std::min(c->queued, item.bytes.size());
+  if (!isCall) c->queuedBytes -= std::min(c->queuedBytes, frame.bytes.size());
   c->queue.pop_front();
 }
 
-void Links::blocked(Handle link) {
-  if (Link* c = links_.get(link)) c->blocked = true;
+void Links::blocked(Handle connection) {
+  if (Connection* c = connections_.get(connection)) c->blocked = true;
 }
 
-void Links::writable(Handle link) {
-  Link* c = links_.get(link);
+void Links::writable(Handle connection) {
+  Connection* c = connections_.get(connection);
   if (!c) return;
   c->blocked = false;
-  effects_.push_back(Flush{link});
+  effects_.push_back(Flush{connection});
 }
 
-// Any traffic moves the idle limit; a connection with parts out is not idle.
-void Links::touch(Link& c) {
-  agenda_.drop(c.deadline);
+// Called on any traffic. A connection with parts outstanding is not idle: when the time-out fires it stays
+// open.
+void Links::restartIdleTimeout(Connection& c) {
+  timers_.drop(c.timeout);
   if (limits_.connIdle <= 0) return;
-  const Micros patience = std::max(limits_.connIdle / 2, limits_.connIdle - limits_.idleMargin);
-  c.deadline = agenda_.add(now_ + patience, {Due::Kind::idle, c.self});
+  const Micros timeout = std::max(limits_.connIdle / 2, limits_.connIdle - limits_.idleMargin);
+  c.timeout = timers_.add(now_ + timeout, {Timer::Kind::idleTimeout, c.self});
 }
 
 void Links::sweep() {
-  const std::uint64_t mark = agenda_.mark();
-  while (const std::optional<Due> due = agenda_.takeDue(now_, mark)) {
-    Link* c = links_.get(due->link);
+  const std::uint64_t mark = timers_.mark();
+  while (const std::optional<Timer> timer = timers_.takeDue(now_, mark)) {
+    Connection* c = connections_.get(timer->connection);
     if (!c) continue;
-    if (due->kind == Due::Kind::stall) {
-      c->stall.reset();
+    if (timer->kind == Timer::Kind::frameTimeout) {
+      c->frameTimeout.reset();
       count(Count::badFrames);
-      lost(*c, "a frame does not end", false);
+      closeConnection(*c, "the rest of a frame did not arrive in time", false);
       continue;
     }
-    c->deadline.reset();
-    if (due->kind == Due::Kind::connect)
-      lost(*c, "did not come up in time", false);
+    c->timeout.reset();
+    if (timer->kind == Timer::Kind::connectTimeout)
+      closeConnection(*c, "connect timed out", false);
     else if (c->streams == 0)
-      lost(*c, "idle", true);
+      closeConnection(*c, "idle", true);
   }
 }
 
-void Links::received(Handle link, std::string_view bytes) {
-  Link* c = links_.get(link);
+void Links::received(Handle connection, std::string_view bytes) {
+  Connection* c = connections_.get(connection);
   if (!c) return;
-  touch(*c);
-  c->unanswered = 0;
-  c->owesSince = c->streams > 0 ? now_ : 0;
+  restartIdleTimeout(*c);
+  c->sendsSinceReceived = 0;
+  c->outstandingSince = c->streams > 0 ? now_ : 0;
   c->reader.append(bytes);
   Frame frame;
-  while ((c = links_.get(link))) {
+  while ((c = connections_.get(connection))) {
     const FrameReader::State state = c->reader.next(frame);
-    if (state == FrameReader::State::more) return watchFrame(*c);
+    if (state == FrameReader::State::more) return updateFrameTimeout(*c);
     std::optional<LeafAnswer> answer;
     if (state == FrameReader::State::frame) answer = readAnswer(frame);
-    if (answer && answered(*c, *answer)) continue;
+    if (answer && handleAnswer(*c, *answer)) continue;
     if (state == FrameReader::State::frame && (frame.letter == 'I' || frame.letter == 'U')) continue;
     count(Count::badFrames);
     say("bad frame from " + c->server + ": " + (frame.letter ? frame.letter : '?') + " " +
         frame.rest.substr(0, 60));
-    return lost(*c, "bad frame", false);
+    return closeConnection(*c, "bad frame", false);
   }
 }
 
-// An id that was never asked for here stands in an answer whose own id was spoilt: whose it was can't be
-// told, and that attempt would wait for its time-out. The answer of an attempt that was given up and the
-// second copy of one just given are something else. So is one to what has not gone out whole: no leaf server
-// can have made it.
-bool Links::answered(Link& c, LeafAnswer& answer) {
-  auto at = c.out.find(answer.id);
-  if (PLANTED(foreignValue) && !c.out.empty()) at = c.out.begin();
-  if (at == c.out.end()) {
-    if (!remembers(c, answer.id)) return false;
+// An answer with an id that was never sent on this connection has a corrupted id: the attempt that it belongs
+// to cannot be determined and would wait for its time-out, so the caller closes the connection. The answer of
+// an abandoned attempt and a duplicate answer are not faults. An answer to a part that is not completely
+// written is one: no leaf server can have produced it.
+bool Links::handleAnswer(Connection& c, LeafAnswer& answer) {
+  auto at = c.parts.find(answer.id);
+  if (PLANTED(foreignValue) && !c.parts.empty()) at = c.parts.begin();
+  if (at == c.parts.end()) {
+    if (!isPastId(c, answer.id)) return false;
     count(Count::lateAnswers);
     return true;
   }
   if (at->second.state != SendState::written) return false;
-  if (at->second.dead) {
+  if (at->second.abandoned) {
     count(Count::lateAnswers);
     if (!PLANTED(lateReplyCounts)) {
-      c.out.erase(at);
-      remember(c, answer.id);
+      c.parts.erase(at);
+      addPastId(c, answer.id);
       return true;
     }
   }
   const Handle attempt = at->second.attempt;
   const Micros sentAt = at->second.sentAt;
-  c.out.erase(at);
-  remember(c, answer.id);
+  c.parts.erase(at);
+  addPastId(c, answer.id);
   if (--c.streams == 0) {
-    c.owesSince = 0;
-    touch(c);
+    c.outstandingSince = 0;
+    restartIdleTimeout(c);
   }
   const Handle self = c.self;
-  learnTime(c, sentAt);
+  recordAnswerTime(c, sentAt);
   const Outcome outcome = answer.outcome;
-  end(attempt, outcome, std::move(answer));
-  return links_.get(self) != nullptr;
+  endAttempt(attempt, outcome, std::move(answer));
+  return connections_.get(self) != nullptr;
 }
 
-bool Links::remembers(const Link& c, const std::string& id) {
-  return std::ranges::find(c.past, std::hash<std::string>()(id)) != c.past.end();
+bool Links::isPastId(const Connection& c, const std::string& id) {
+  return std::ranges::find(c.pastIds, std::hash<std::string>()(id)) != c.pastIds.end();
 }
 
-void Links::remember(Link& c, const std::string& id) const {
-  if (remembers(c, id)) return;
-  c.past.push_back(std::hash<std::string>()(id));
-  if (c.past.size() > limits_.pastMost) c.past.erase(c.past.begin());
+void Links::addPastId(Connection& c, const std::string& id) const {
+  if (isPastId(c, id)) return;
+  c.pastIds.push_back(std::hash<std::string>()(id));
+  if (c.pastIds.size() > limits_.pastMost) c.pastIds.erase(c.pastIds.begin());
 }
 
-// From the frame's first bytes on; more bytes of the same frame do not move it.
-void Links::watchFrame(Link& c) {
-  if (!c.reader.partial()) return agenda_.drop(c.stall);
-  if (c.stall) return;
-  c.stall = agenda_.add(now_ + limits_.frameTime, {Due::Kind::stall, c.self});
+// The time-out runs from the first bytes of a frame; further bytes of the same frame do not extend it.
+void Links::updateFrameTimeout(Connection& c) {
+  if (!c.reader.partial()) return timers_.drop(c.frameTimeout);
+  if (c.frameTimeout) return;
+  c.frameTimeout = timers_.add(now_ + limits_.frameTime, {Timer::Kind::frameTimeout, c.self});
 }
 
-void Links::learnTime(Link& c, Micros sentAt) {
+// Updates the smoothed answer time, then closes connections that this answer shows to be dead.
+void Links::recordAnswerTime(Connection& c, Micros sentAt) {
   const double time = double(now_ - sentAt);
-  if (meanTime_ <= 0)
-    meanTime_ = time, deviation_ = time / 2;
-  else {
-    deviation_ += kDeviationGain * (std::abs(time - meanTime_) - deviation_);
-    meanTime_ += kMeanGain * (time - meanTime_);
+  if (meanAnswerTime_ <= 0) {
+    meanAnswerTime_ = time;
+    answerTimeDeviation_ = time / 2;
+  } else {
+    answerTimeDeviation_ += kDeviationGain * (std::abs(time - meanAnswerTime_) - answerTimeDeviation_);
+    meanAnswerTime_ += kMeanGain * (time - meanAnswerTime_);
   }
-  dropSilent(c);
-}
-
-// What was sent on a connection that is silent while a newer one to the same server answers is not waited
-// for.
-void Links::dropSilent(Link& proof) {
-  const auto at = servers_.find(proof.server);
-  if (at == servers_.end() || at->second.links.size() < 2) return;
-  const std::vector<Handle> held = at->second.links;
-  bool any = false;
-  for (const Handle h : held) {
-    Link* c = links_.get(h);
-    if (!c || c == &proof || c->order > proof.order || !silent(*c)) continue;
-    any = true;
-    if (proof.proofs + 1 < kProofs) continue;
+  closeOlderSilent(c);
+}
+
+// `answering` has just received an answer. Connections to the same server that are older and silent are
+// closed, and their parts end as timed out rather than wait for their own time-outs.
+void Links::closeOlderSilent(Connection& answering) {
+  const auto at = servers_.find(answering.server);
+  if (at == servers_.end() || at->second.connections.size() < 2) return;
+  const std::vector<Handle> handles = at->second.connections;
+  bool anySilent = false;
+  for (const Handle h : handles) {
+    Connection* c = connections_.get(h);
+    if (!c || c == &answering || c->openOrder > answering.openOrder || !isSilent(*c)) continue;
+    anySilent = true;
+    if (answering.answersWhileOlderSilent + 1 < kAnswersToCloseOlder) continue;
     count(Count::leafConnectionsSilent);
-    lost(*c, "silent, while a newer one answers", false, Outcome::timedOut);
+    closeConnection(*c, "silent while a newer connection to the server gets answers", false,
+                    Outcome::timedOut);
   }
-  proof.proofs = any ? proof.proofs + 1 : 0;
+  answering.answersWhileOlderSilent = anySilent ? answering.answersWhileOlderSilent + 1 : 0;
 }
 
-void Links::failed(Handle link, const char* why) {
-  if (Link* c = links_.get(link)) lost(*c, why, c->state == LinkState::up && c->streams == 0);
+void Links::failed(Handle connection, const char* reason) {
+  if (Connection* c = connections_.get(connection))
+    closeConnection(*c, reason, c->state == ConnectionState::up && c->streams == 0);
 }
 
-// The one place where a connection ends, and with it all that was on it.
-void Links::lost(Link& c, const char* why, bool expected, Outcome written) {
-  agenda_.drop(c.deadline);
-  agenda_.drop(c.stall);
-  const bool up = c.state == LinkState::up;
-  effects_.push_back(Close{c.self, up && (!expected || c.owesSince != 0)});
+// Every connection ends here, and with it every attempt on it. `expected`: not a fault, so neither logged nor
+// counted. `writtenOutcome`: of the attempts that are completely written.
+void Links::closeConnection(Connection& c, const char* reason, bool expected, Outcome writtenOutcome) {
+  timers_.drop(c.timeout);
+  timers_.drop(c.frameTimeout);
+  const bool up = c.state == ConnectionState::up;
+  effects_.push_back(Close{c.self, up && (!expected || c.outstandingSince != 0)});
   if (up && !expected && c.streams > 0) {
-    breaks_ = 1 + breaks_ * std::exp(-double(now_ - breaksAt_) / kBreakSpan);
-    breaksAt_ = now_;
+    recentBreaks_ = 1 + recentBreaks_ * std::exp(-double(now_ - lastBreakAt_) / kBreakDecayUs);
+    lastBreakAt_ = now_;
   }
   if (!expected) {
     count(up ? Count::leafConnectionsLost : Count::leafConnectsFailed);
-    say("connection to " + c.server + " ended: " + why);
+    say("connection to " + c.server + " ended: " + reason);
   }
-  for (const auto& [id, out] : c.out) {
-    if (out.dead) continue;
-    const bool whole = out.state == SendState::written && !PLANTED(resetTakenForConnect);
-    end(out.attempt, whole ? written : Outcome::connectFailed);
+  for (const auto& [id, part] : c.parts) {
+    if (part.abandoned) continue;
+    const bool fullyWritten = part.state == SendState::written && !PLANTED(resetTakenForConnect);
+    endAttempt(part.attempt, fullyWritten ? writtenOutcome : Outcome::connectFailed);
   }
   const std::string server = c.server;
-  if (const auto at = servers_.find(server); at != servers_.end()) std::erase(at->second.links, c.self);
-  links_.remove(c.self);
-  drop(server);
+  if (const auto at = servers_.find(server); at != servers_.end()) std::erase(at->second.connections, c.self);
+  connections_.remove(c.self);
+  forgetRemovedServer(server);
 }
 
 void Links::closeIdle(const std::string& server) {
   const auto at = servers_.find(server);
   if (at == servers_.end()) return;
-  const std::vector<Handle> held = at->second.links;
-  for (const Handle h : held)
-    if (Link* c = links_.get(h); c && c->streams == 0) lost(*c, "closed before use", true);
+  const std::vector<Handle> handles = at->second.connections;
+  for (const Handle h : handles)
+    if (Connection* c = connections_.get(h); c && c->streams == 0)
+      closeConnection(*c, "idle, closed on request", true);
 }
 
 void Links::closeAll() {
-  for (const Handle h : links_.all()) lost(*links_.get(h), "the program ends", true);
+  for (const Handle h : connections_.all())
+    closeConnection(*connections_.get(h), "the program is shutting down", true);
 }
 
 // ---- For the checker -------------------------------------------------------------------------------------
 
 std::vector<Handle> Links::all() const {
   std::vector<Handle> out;
-  for (const auto& [name, server] : servers_) out.insert(out.end(), server.links.begin(), server.links.end());
+  for (const auto& [name, server] : servers_)
+    out.insert(out.end(), server.connections.begin(), server.connections.end());
   return out;
 }
 
-std::vector<Handle> Links::frontAttempts(Handle link) const {
+std::vector<Handle> Links::frontAttempts(Handle connection) const {
   std::vector<Handle> out;
-  const Link* c = links_.get(link);
+  const Connection* c = connections_.get(connection);
   if (!c || c->queue.empty()) return out;
   for (const Call& call : c->queue.front().calls) out.push_back(call.attempt);
   return out;
 }
 
-bool Links::frontBegun(Handle link) const {
-  const Link* c = links_.get(link);
-  return c && !c->queue.empty() && c->queue.front().done > 0;
+bool Links::frontBegun(Handle connection) const {
+  const Connection* c = connections_.get(connection);
+  return c && !c->queue.empty() && c->queue.front().written > 0;
 }
 
 void Links::digest(Digest& to, const std::function<std::string(Handle)>& name) const {
-  std::map<std::uint64_t, std::uint32_t> place;  // of each connection, in the order they are told in
+  std::map<std::uint64_t, std::uint32_t> position;  // of each connection, in the order of the digest
   for (const auto& [id, server] : servers_) {
     to << id << server.entry.state << server.entry.sinceMs << server.entry.address.port;
-    for (const Handle h : server.links) {
-      const Link* c = links_.get(h);
+    for (const Handle h : server.connections) {
+      const Connection* c = connections_.get(h);
       if (!c) continue;
-      place[number(h)] = std::uint32_t(place.size());
+      position[number(h)] = std::uint32_t(position.size());
       to << '+' << c->state << c->blocked << c->address.port << (c->upAtMs < server.entry.sinceMs)
-         << c->streams << std::min(c->unanswered, kUnansweredFew + 1) << c->proofs;
-      to << (c->owesSince != 0);
-      if (c->owesSince != 0) to.time(std::max(c->owesSince, now_ - limits_.silentMost - 1));
-      for (const auto& [part, out] : c->out) to << part << name(out.attempt) << out.state << out.dead;
+         << c->streams << std::min(c->sendsSinceReceived, kUnansweredTolerated + 1)
+         << c->answersWhileOlderSilent;
+      to << (c->outstandingSince != 0);
+      if (c->outstandingSince != 0) to.time(std::max(c->outstandingSince, now_ - limits_.silentMost - 1));
+      for (const auto& [id, part] : c->parts) to << id << name(part.attempt) << part.state << part.abandoned;
       to << '/';
-      for (const Item& item : c->queue) {
-        to << (item.done > 0) << (item.calls.empty() ? std::string_view(item.bytes) : std::string_view());
-        for (const Call& call : item.calls) {
+      for (const QueuedFrame& frame : c->queue) {
+        to << (frame.written > 0)
+           << (frame.calls.empty() ? std::string_view(frame.bytes) : std::string_view());
+        for (const Call& call : frame.calls) {
           to << call.id << (call.startBy == INT64_MAX);
           if (call.startBy != INT64_MAX) to.time(std::max(call.startBy, now_));
         }
       }
-      to << c->reader.held() << std::uint32_t(c->past.size());
-      for (const std::size_t hash : c->past) to << hash;
+      to << c->reader.held() << std::uint32_t(c->pastIds.size());
+      for (const std::size_t hash : c->pastIds) to << hash;
     }
   }
-  for (const auto& [key, due] : agenda_.entries()) {
-    to.time(key.first) << due.kind;
-    if (const auto at = place.find(number(due.link)); at != place.end()) to << at->second;
+  for (const auto& [key, timer] : timers_.entries()) {
+    to.time(key.first) << timer.kind;
+    if (const auto at = position.find(number(timer.connection)); at != position.end()) to << at->second;
   }
-  to << std::uint32_t(places_.size());
-  if (limits_.silentLeast != limits_.silentMost) to << meanTime_ << deviation_;
+  to << std::uint32_t(attempts_.size());
+  if (limits_.silentLeast != limits_.silentMost) to << meanAnswerTime_ << answerTimeDeviation_;
 }
 
 }  // namespace cometdeal::net
--- a/src/leaf/frame/links.hpp
+++ b/src/leaf/frame/links.hpp
@@ -1,16 +1,17 @@
-// The life of a connection to a leaf server, and of each attempt on it, without I/O: what happened goes in
-// with the time of it, what is to be done on sockets comes out as effects. `LeafSockets` carries them out;
-// the checker explores this same code.
+// The life cycle of the connections to leaf servers that speak the frame protocol, and of each attempt on
+// them. A state machine without I/O: events go in with their time, and the socket operations to perform come
+// out as effects. `LeafSockets` performs them; the checker explores this same code.
 //
-// A connection:  connecting -> up -> (closed, its slot free)
-//   up, further:  blocked    the system takes no more bytes until it says so
-//                 silent     owes for longer than an answer takes: gets nothing new
-//                 stalled    a frame has begun to come and does not end
+// A connection:  connecting -> up -> closed (its slot is free)
+//   Conditions of a connection that is up:
+//   blocked       the kernel accepts no more bytes until it reports the socket as writable
+//   silent        has had answers outstanding for longer than an answer takes: gets no new parts
+//   frame begun   an incomplete frame has been received; it has to be completed within a time-out
 // An attempt on it:  waiting -> begun -> written -> ended
-//   waiting       in the connection's queue, no byte of it out: it can be taken back without a trace
-//   begun         some bytes are out, so the rest must follow
-//   written       the last byte was handed to the system: from here on it may have run
-//   dead          (begun or written) given up; kept so that its late answer is known for what it is
+//   waiting       in the connection's queue, none of its bytes written: it can be removed without a trace
+//   begun         some of its bytes are written, so the rest has to follow
+//   written       its last byte was handed to the kernel: from here on the leaf server may have run it
+//   abandoned     (begun or written) its answer is no longer wanted; kept to recognize a late answer
 #pragma once
 
 #include <cstdint>
@@ -31,34 +32,41 @@
 
 namespace cometdeal::net {
 
-// Times in microseconds. Those with a figure here are not the platform's but ours.
+// Times are in microseconds. Values with a default here are this program's own choice; the others come from
+// the settings.
 struct LinkLimits {
   Micros connectTimeout = 0;
-  Micros connIdle = 0;  // the leaf server closes by then at the latest; 0: never
-  int streams = 1;      // parts that a connection carries at once
-  int bundleMost = 1;   // parts that share a call
-  int linksMost = 256;  // connections in all
-  // Closed so much ahead of connIdle: what is written from then on is a reset.
+  Micros connIdle = 0;      // the leaf server closes a connection that is idle for so long; 0: never
+  int streams = 1;          // parts that a connection carries at once
+  int maxPartsPerCall = 1;  // parts that share a call
+  int linksMost = 256;      // connections in all
+  // A connection is closed this much before connIdle: bytes written at or after that limit would be answered
+  // with a reset.
   Micros idleMargin = 500'000;
-  // For the rest of a frame that has begun to come: one whose length does not fit would take in what follows.
+  // Time for the rest of a frame whose first bytes were received: a frame with a wrong length would swallow
+  // the frames after it.
   Micros frameTime = 200'000;
-  // Bounds of the time after which a connection that owes is silent; between them TCP's rule for its
-  // retransmission time-out.
+  // Bounds of the time after which a connection with answers outstanding counts as silent. Between them it is
+  // computed from the answer times as TCP computes its retransmission time-out.
   Micros silentLeast = 250'000, silentMost = 3'000'000;
-  // What a leaf server does not read must not fill the memory: beyond this its connection counts as broken.
-  std::size_t queueMost = 4UL << 20;
-  // With so many connections broken under requests lately, parts are spread over several; 0: never.
+  // Bytes that may be queued on one connection. Beyond them it counts as broken, so that a leaf server that
+  // does not read cannot exhaust the memory.
+  std::size_t maxQueuedBytes = 4UL << 20;
+  // Once this many connections (a decaying count) have recently broken with parts outstanding, the parts for
+  // a server are spread over several connections; 0: never.
   double spreadAfter = 3;
-  int spreadMost = 6;  // connections to a server then
-  // Ids that a connection still knows after their end: an answer to one of them is late or a second copy.
+  int maxSpreadConnections = 6;  // connections to a server while parts are spread
+  // Ids of ended parts that a connection remembers: an answer to one of them is late or a duplicate.
   std::size_t pastMost = 512;
 };
 
+// The limits that follow from the settings; `linksMost`: connections in all.
 LinkLimits linkLimits(const HostSettings& host, const Settings& settings, int linksMost);
 
-enum class LinkState : std::uint8_t { connecting, up };
+enum class ConnectionState : std::uint8_t { connecting, up };
 enum class SendState : std::uint8_t { waiting, begun, written };
 
+// The frame protocol's side of `LeafMachine`; see there for the methods that it overrides.
 class Links : public LeafMachine {
  public:
   Links(LinkLimits limits, Counters* counters) : limits_(limits), counters_(counters) {}
@@ -74,107 +82,115 @@
   void closeAll() override;
 
   // From the sockets.
-  void cameUp(Handle link, std::int64_t unixMs) override;
-  std::string_view front(Handle link) override;
-  void wrote(Handle link, std::size_t bytes) override;
-  void blocked(Handle link) override;
-  void writable(Handle link) override;
-  void received(Handle link, std::string_view bytes) override;
-  void failed(Handle link, const char* why) override;
-
-  std::optional<Micros> next() const override { return agenda_.next(); }
+  void cameUp(Handle connection, std::int64_t unixMs) override;
+  std::string_view front(Handle connection) override;
+  void wrote(Handle connection, std::size_t bytes) override;
+  void blocked(Handle connection) override;
+  void writable(Handle connection) override;
+  void received(Handle connection, std::string_view bytes) override;
+  void failed(Handle connection, const char* reason) override;
+
+  std::optional<Micros> next() const override { return timers_.next(); }
   void sweep() override;
 
-  std::size_t size() const override { return links_.size(); }
-  std::size_t places() const { return places_.size(); }
-  std::size_t due() const { return agenda_.size(); }
+  std::size_t size() const override { return connections_.size(); }
+  std::size_t places() const { return attempts_.size(); }
+  std::size_t due() const { return timers_.size(); }
 
-  // For the checker: the links, in an order that states alike share; what one has to write; all of the state.
+  // For the checker.
+  // The connections, in an order that is the same for equivalent states.
   std::vector<Handle> all() const;
-  std::vector<Handle> frontAttempts(Handle link) const;  // of the frame that front() gives; none: not a call
-  bool frontBegun(Handle link) const;
-  // `name` gives an attempt a name that does not hang on its slot.
+  // The attempts in the frame that front() returns bytes of; empty if that frame is not a call.
+  std::vector<Handle> frontAttempts(Handle connection) const;
+  // Whether some bytes of that frame are written.
+  bool frontBegun(Handle connection) const;
+  // Appends the whole state. `name` gives each attempt a name that does not depend on its slot.
   void digest(Digest& to, const std::function<std::string(Handle)>& name) const;
   void countTo(Counters* counters) { counters_ = counters; }
-  void limit(const LinkLimits& limits) { limits_ = limits; }  // from now on; what is open stays
+  void limit(const LinkLimits& limits) { limits_ = limits; }  // open connections stay
 
  private:
-  struct Due {
-    enum class Kind : std::uint8_t { connect, idle, stall } kind = Kind::connect;
-    Handle link;
+  struct Timer {
+    enum class Kind : std::uint8_t { connectTimeout, idleTimeout, frameTimeout } kind = Kind::connectTimeout;
+    Handle connection;
   };
-  struct Out {
+  struct PartState {  // the latest attempt of one part on a connection
     Handle attempt;
     SendState state = SendState::waiting;
-    bool dead = false;
+    bool abandoned = false;
     Micros sentAt = 0;
   };
-  // A frame in the queue. A call is put into words when it is written, so that until then parts can leave it.
-  struct Item {
-    std::vector<Call> calls;  // none: `bytes` is the frame of something else
+  // A frame in the queue. A call is encoded when its first byte is to be written, so that until then parts
+  // can be removed from it.
+  struct QueuedFrame {
+    std::vector<Call> calls;  // empty: `bytes` is a frame of another kind
     std::string bytes;
-    std::size_t done = 0;
+    std::size_t written = 0;
   };
-  struct Link {
+  struct Connection {
     std::string server;
     Address address;
     Handle self;
-    LinkState state = LinkState::connecting;
+    ConnectionState state = ConnectionState::connecting;
     bool blocked = false;
-    std::int64_t upAtMs = 0;         // Unix time, as in the list
-    std::map<std::string, Out> out;  // by part id
-    int streams = 0;                 // live parts on it
-    std::uint64_t order = 0;         // of its opening
-    Micros owesSince = 0;            // first send after which nothing has come; 0: nothing is owed
-    int unanswered = 0;              // sends since the last bytes came
-    int proofs = 0;                  // answers to what was sent while an older connection owed
-    std::list<Item> queue;
-    std::size_t queued = 0;  // bytes, about
+    std::int64_t upAtMs = 0;                 // Unix time, as in the discovery list
+    std::map<std::string, PartState> parts;  // by part id
+    int streams = 0;                         // parts on it that are not abandoned
+    std::uint64_t openOrder = 0;             // counts the connections opened before it
+    // Since when answers have been outstanding with no byte received; 0: none are outstanding.
+    Micros outstandingSince = 0;
+    int sendsSinceReceived = 0;       // parts sent since the last bytes were received
+    int answersWhileOlderSilent = 0;  // answers in a row while an older connection to the server was silent
+    std::list<QueuedFrame> queue;
+    std::size_t queuedBytes = 0;  // approximate
     FrameReader reader;
-    std::optional<Agenda<Due>::Key> deadline;  // connect time-out, later idle limit
-    std::optional<Agenda<Due>::Key> stall;     // of a frame that has begun to come
-    std::vector<std::size_t> past;             // hashes of ids whose answers may come late or twice
+    std::optional<Agenda<Timer>::Key> timeout;       // of connecting, later of being idle
+    std::optional<Agenda<Timer>::Key> frameTimeout;  // of a frame received in part
+    std::vector<std::size_t> pastIds;                // hashes of ids whose answers may come late or twice
   };
-  struct Place {
-    Handle link;
+  struct Location {  // of an attempt
+    Handle connection;
     std::string id;
   };
   struct Server {
     LeafEntry entry;
-    std::vector<Handle> links;
+    std::vector<Handle> connections;
   };
 
-  Link* pick(Server& server, const std::vector<Call>& calls);
-  Link* open(Server& server);
-  bool makeRoom();
-  bool silent(const Link& c) const;
-  bool spreads() const;
-  void touch(Link& c);
-  bool answered(Link& c, LeafAnswer& answer);  // false: to nothing that was asked here
-  static bool remembers(const Link& c, const std::string& id);
-  void remember(Link& c, const std::string& id) const;
-  void watchFrame(Link& c);
-  void learnTime(Link& c, Micros sentAt);
-  void dropSilent(Link& proof);
-  bool takeBack(Link& c, const std::string& id);  // true: no byte of it was out
-  void dropWaiting(Link& c);
-  void dropOverdue(Link& c);
-  void lost(Link& c, const char* why, bool expected, Outcome written = Outcome::reset);
-  void drop(const std::string& server);
-  void end(Handle attempt, Outcome outcome, LeafAnswer answer = {});
+  Connection* pickConnection(Server& server, const std::vector<Call>& calls);
+  Connection* openConnection(Server& server);
+  bool closeOldestIdle();
+  bool isSilent(const Connection& c) const;
+  bool shouldSpread() const;
+  void restartIdleTimeout(Connection& c);
+  // False if the answer is a fault, or if its end closed the connection.
+  bool handleAnswer(Connection& c, LeafAnswer& answer);
+  static bool isPastId(const Connection& c, const std::string& id);
+  void addPastId(Connection& c, const std::string& id) const;
+  void updateFrameTimeout(Connection& c);
+  void recordAnswerTime(Connection& c, Micros sentAt);
+  void closeOlderSilent(Connection& answering);
+  bool removeWaiting(Connection& c, const std::string& id);
+  void failWaiting(Connection& c);
+  void failOverdue(Connection& c);
+  void closeConnection(Connection& c, const char* reason, bool expected,
+                       Outcome writtenOutcome = Outcome::reset);
+  void forgetRemovedServer(const std::string& server);
+  void endAttempt(Handle attempt, Outcome outcome, LeafAnswer answer = {});
   void count(Count what) { counters_->add(what); }
 
   LinkLimits limits_;
   Counters* counters_;
   std::map<std::string, Server> servers_;
-  Table<Link> links_;
-  Agenda<Due> agenda_;
-  std::uint64_t opened_ = 0;
-  // Smoothed time of an answer and its deviation, as TCP keeps them for its retransmission time-out.
-  double meanTime_ = 0, deviation_ = 0;
-  double breaks_ = 0;  // connections that broke under requests, decaying
-  Micros breaksAt_ = 0;
-  std::map<std::uint64_t, Place> places_;  // attempt -> where it is
+  Table<Connection> connections_;
+  Agenda<Timer> timers_;
+  std::uint64_t openedCount_ = 0;
+  // Smoothed time of an answer and its mean deviation in microseconds, computed as TCP does for its
+  // retransmission time-out.
+  double meanAnswerTime_ = 0, answerTimeDeviation_ = 0;
+  double recentBreaks_ = 0;  // connections that broke with parts outstanding; decays
+  Micros lastBreakAt_ = 0;
+  std::map<std::uint64_t, Location> attempts_;  // by attempt; abandoned ones are not in it
 };
 
 }  // namespace cometdeal::net
--- a/src/leaf/machine.hpp
+++ b/src/leaf/machine.hpp
@@ -1,5 +1,5 @@
-// What every protocol to leaf servers is made of: a machine without I/O. What happened goes in with the time
-// of it, what is to be done on sockets comes out as effects. `LeafSockets` carries these out for any of them.
+// The interface of a protocol to leaf servers: a state machine without I/O. Events go in with their time, and
+// the socket operations to perform come out as effects. `LeafSockets` performs them for every protocol.
 #pragma once
 
 #include <cstdint>
@@ -15,39 +15,41 @@
 
 namespace cometdeal::net {
 
+// Implemented by the frame protocol and by gRPC; driven by `LeafSockets` and by the checker.
 class LeafMachine {
  public:
-  struct Open {  // a socket for the link; failed() if there is none to be had
+  struct Open {  // open a socket and connect it; failed() is called if that is not possible
     Handle link;
     Address address;
   };
-  struct Flush {  // there may be something to write: front(), wrote(), blocked()
+  struct Flush {  // there may be bytes to write: call front(), then wrote() or blocked()
     Handle link;
   };
-  struct Close {  // with `reset`: so that what the other side has not taken does not reach it any more
+  struct Close {  // `reset`: with a TCP reset, so that bytes the other side has not read are discarded
     Handle link;
     bool reset = false;
   };
-  struct Ended {
+  struct Ended {  // report the end of an attempt to the core
     Handle attempt;
     Outcome outcome = Outcome::done;
     LeafAnswer answer;
   };
-  struct Say {
+  struct Say {  // write a log line
     std::string text;
   };
   using Effect = std::variant<Open, Flush, Close, Ended, Say>;
 
   virtual ~LeafMachine() = default;
 
-  // Every call is at the time set last, in microseconds on the loop's clock.
+  // Sets the time of the calls that follow, in microseconds on the loop's clock.
   void at(Micros now) { now_ = now; }
+  // The effects since the last call of this, to be performed in order.
   std::vector<Effect> take() { return std::exchange(effects_, {}); }
   bool quiet() const { return effects_.empty(); }
-  // Called where there is something to do though no call of this interface is under way.
+  // Called when there are effects to take although no call of this interface is running.
   std::function<void()> wake;
 
-  // From the core: see LeafSide.
+  // Called by the core; see LeafSide.
   virtual void update(const LeafEntry& entry) = 0;
   virtual void keepOnly(const std::vector<LeafEntry>& entries) = 0;
   virtual void send(const std::string& server, std::vector<Call> calls) = 0;
@@ -57,18 +59,20 @@
   virtual void closeIdle(const std::string& server) = 0;
   virtual void closeAll() = 0;
 
-  // From the sockets. What a handle of a connection that has ended says is not heard.
-  virtual void cameUp(Handle link, std::int64_t unixMs) = 0;
-  virtual std::string_view front(Handle link) = 0;  // bytes to write next; empty: nothing for now
-  virtual void wrote(Handle link, std::size_t bytes) = 0;
-  virtual void blocked(Handle link) = 0;
-  virtual void writable(Handle link) = 0;
-  virtual void received(Handle link, std::string_view bytes) = 0;
-  virtual void failed(Handle link, const char* why) = 0;  // could not connect, broke or was closed
+  // Called by the sockets. Calls with the handle of a connection that has ended are ignored.
+  // The connection is established; `unixMs`: the time of that, Unix time in milliseconds.
+  virtual void cameUp(Handle connection, std::int64_t unixMs) = 0;
+  virtual std::string_view front(Handle connection) = 0;  // the bytes to write next; empty: nothing for now
+  virtual void wrote(Handle connection, std::size_t bytes) = 0;  // so many bytes of front() are written
+  virtual void blocked(Handle connection) = 0;                   // the socket accepts no more bytes for now
+  virtual void writable(Handle connection) = 0;                  // it accepts bytes again
+  virtual void received(Handle connection, std::string_view bytes) = 0;
+  // Connecting failed, the connection broke, or the other side closed it.
+  virtual void failed(Handle connection, const char* reason) = 0;
 
-  virtual std::optional<Micros> next() const = 0;
-  virtual void sweep() = 0;
-  virtual std::size_t size() const = 0;  // connections
+  virtual std::optional<Micros> next() const = 0;  // when sweep() is due; none: no timer is set
+  virtual void sweep() = 0;                        // handles the timers that are due
+  virtual std::size_t size() const = 0;            // number of connections
 
  protected:
   LeafMachine() = default;
--- a/src/leaf/sides.hpp
+++ b/src/leaf/sides.hpp
@@ -1,11 +1,13 @@
-// Two protocols to leaf servers as one leaf side: a call whose query is an exchange goes the one way, all
-// others the other. An attempt is known to one of them only.
+// Combines two protocols to leaf servers into one leaf side: calls whose query is an exchange (gRPC) go to
+// one of them, all others to the other. An attempt is known to one of the two only; the other ignores its
+// handle.
 #pragma once
 
 #include "core/seam.hpp"
 
 namespace cometdeal::net {
 
+// `texts` gets the calls that carry a text, `exchanges` those that carry an exchange.
 class LeafSides : public LeafSide {
  public:
   LeafSides(LeafSide& texts, LeafSide& exchanges) : texts_(texts), exchanges_(exchanges) {
--- a/src/leaf/sockets.cpp
+++ b/src/leaf/sockets.cpp
@@ -12,10 +12,10 @@
 
 using boost::system::error_code;
 
-// The system takes bytes only while nothing lies unsent: what a peer does not read waits here, where it can
-// still be taken back.
+// The kernel accepts bytes only while it holds none that are unsent. What the other side does not read
+// therefore waits in this program, where it can still be withdrawn.
 using NotSentLowWater = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_NOTSENT_LOWAT>;
-constexpr int kNotSentMost = 1;
+constexpr int kMaxUnsentBytes = 1;
 
 std::int64_t unixMs() {
   const auto t = std::chrono::system_clock::now().time_since_epoch();
@@ -24,24 +24,24 @@
 
 }  // namespace
 
-// Connects, then reads for as long as the connection lives.
+// Connects, then reads until the connection ends.
 struct LeafSockets::Driver : boost::asio::coroutine {
-  LeafSockets* leaves;
+  LeafSockets* owner;
   std::shared_ptr<Socket> s;
-  tcp::endpoint to;
-  Driver(LeafSockets* l, std::shared_ptr<Socket> socket, tcp::endpoint endpoint)
-      : leaves(l), s(std::move(socket)), to(std::move(endpoint)) {}
+  tcp::endpoint server;
+  Driver(LeafSockets* o, std::shared_ptr<Socket> socket, tcp::endpoint endpoint)
+      : owner(o), s(std::move(socket)), server(std::move(endpoint)) {}
   void operator()(error_code ec = {}, std::size_t bytes = 0) {
-    if (s->closed) return;  // a late callback of a connection that has ended
-    if (ec) return leaves->failed(s->link, ec.message().c_str());
+    if (s->closed) return;  // a callback of a connection that has ended
+    if (ec) return owner->failed(s->connection, ec.message().c_str());
     BOOST_ASIO_CORO_REENTER(this) {
-      BOOST_ASIO_CORO_YIELD s->socket.async_connect(to, *this);
-      leaves->now().cameUp(s->link, unixMs());
-      leaves->settle();
+      BOOST_ASIO_CORO_YIELD s->socket.async_connect(server, *this);
+      owner->machineNow().cameUp(s->connection, unixMs());
+      owner->performEffects();
       while (!s->closed) {
         BOOST_ASIO_CORO_YIELD s->socket.async_read_some(boost::asio::buffer(s->incoming), *this);
-        leaves->now().received(s->link, {s->incoming.data(), bytes});
-        leaves->settle();
+        owner->machineNow().received(s->connection, {s->incoming.data(), bytes});
+        owner->performEffects();
       }
     }
   }
@@ -49,85 +49,85 @@
 
 LeafSockets::LeafSockets(Loop& loop, std::unique_ptr<LeafMachine> machine)
     : loop_(loop), machine_(std::move(machine)), alarm_(loop, [this] {
-        now().sweep();
-        settle();
+        machineNow().sweep();
+        performEffects();
       }) {
   machine_->wake = [this] {
-    if (woken_ || settling_) return;
-    woken_ = true;
+    if (wakePosted_ || performing_) return;
+    wakePosted_ = true;
     boost::asio::post(loop_.strand, [this] {
-      woken_ = false;
-      settle();
+      wakePosted_ = false;
+      performEffects();
     });
   };
 }
 
-LeafMachine& LeafSockets::now() {
+LeafMachine& LeafSockets::machineNow() {
   machine_->at(loop_.now());
   return *machine_;
 }
 
-void LeafSockets::settle() {
-  if (settling_) return;  // what an effect brings about is carried out by the loop that is under way
-  settling_ = true;
+void LeafSockets::performEffects() {
+  if (performing_) return;  // further effects are performed by the loop that is running
+  performing_ = true;
   while (!machine_->quiet())
     for (LeafMachine::Effect& effect : machine_->take()) {
-      if (const auto* up = std::get_if<LeafMachine::Open>(&effect))
-        open(up->link, up->address);
-      else if (const auto* ready = std::get_if<LeafMachine::Flush>(&effect))
-        flush(ready->link);
-      else if (const auto* end = std::get_if<LeafMachine::Close>(&effect))
-        close(end->link, end->reset);
+      if (const auto* toOpen = std::get_if<LeafMachine::Open>(&effect))
+        open(toOpen->link, toOpen->address);
+      else if (const auto* toFlush = std::get_if<LeafMachine::Flush>(&effect))
+        flush(toFlush->link);
+      else if (const auto* toClose = std::get_if<LeafMachine::Close>(&effect))
+        close(toClose->link, toClose->reset);
       else if (const auto* say = std::get_if<LeafMachine::Say>(&effect))
         logLine("%s", say->text.c_str());
       else if (auto* ended = std::get_if<LeafMachine::Ended>(&effect); ended && onEnded)
         onEnded(ended->attempt, ended->outcome, std::move(ended->answer));
     }
-  settling_ = false;
+  performing_ = false;
   alarm_.set(machine_->next());
 }
 
-void LeafSockets::open(Handle link, const Address& address) {
-  const auto s = std::make_shared<Socket>(loop_.strand, link);
+void LeafSockets::open(Handle connection, const Address& address) {
+  const auto s = std::make_shared<Socket>(loop_.strand, connection);
   error_code ec;
   const auto ip = boost::asio::ip::make_address(address.host, ec);
   if (!ec) s->socket.open(ip.is_v6() ? tcp::v6() : tcp::v4(), ec);
   if (!ec) s->socket.set_option(tcp::no_delay(true), ec);
-  if (!ec) s->socket.set_option(NotSentLowWater(kNotSentMost), ec);
+  if (!ec) s->socket.set_option(NotSentLowWater(kMaxUnsentBytes), ec);
   if (!ec) s->socket.non_blocking(true, ec);
-  // Out of descriptors, as a rule: the attempt has failed, the program goes on.
-  if (ec) return now().failed(link, ("cannot open a socket: " + ec.message()).c_str());
-  sockets_[number(link)] = s;
+  // Usually the process is out of descriptors. Only the attempts on this connection fail.
+  if (ec) return machineNow().failed(connection, ("cannot open a socket: " + ec.message()).c_str());
+  sockets_[number(connection)] = s;
   Driver(this, s, tcp::endpoint(ip, address.port))();
 }
 
-// Writes by hand, without an operation that reports later: when the connection breaks it must be known how
-// many bytes it had taken.
-void LeafSockets::flush(Handle link) {
-  const auto at = sockets_.find(number(link));
+// Writes without an asynchronous operation: when the connection breaks, it must be known how many bytes the
+// kernel had accepted.
+void LeafSockets::flush(Handle connection) {
+  const auto at = sockets_.find(number(connection));
   if (at == sockets_.end()) return;
   const std::shared_ptr<Socket> s = at->second;
   for (;;) {
-    const std::string_view bytes = now().front(link);
+    const std::string_view bytes = machineNow().front(connection);
     if (bytes.empty()) return;
     error_code ec;
     const std::size_t n = s->socket.write_some(boost::asio::buffer(bytes.data(), bytes.size()), ec);
-    if (n > 0) machine_->wrote(link, n);
+    if (n > 0) machine_->wrote(connection, n);
     if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) {
-      machine_->blocked(link);
+      machine_->blocked(connection);
       s->socket.async_wait(tcp::socket::wait_write, [this, s](const error_code&) {
         if (s->closed) return;
-        now().writable(s->link);
-        settle();
+        machineNow().writable(s->connection);
+        performEffects();
       });
       return;
     }
-    if (ec) return machine_->failed(link, ec.message().c_str());
+    if (ec) return machine_->failed(connection, ec.message().c_str());
   }
 }
 
-void LeafSockets::close(Handle link, bool reset) {
-  const auto at = sockets_.find(number(link));
+void LeafSockets::close(Handle connection, bool reset) {
+  const auto at = sockets_.find(number(connection));
   if (at == sockets_.end()) return;
   Socket& s = *at->second;
   s.closed = true;
@@ -137,42 +137,42 @@
   sockets_.erase(at);
 }
 
-void LeafSockets::failed(Handle link, const char* why) {
-  now().failed(link, why);
-  settle();
+void LeafSockets::failed(Handle connection, const char* reason) {
+  machineNow().failed(connection, reason);
+  performEffects();
 }
 
 void LeafSockets::update(const LeafEntry& entry) {
-  now().update(entry);
-  settle();
+  machineNow().update(entry);
+  performEffects();
 }
 void LeafSockets::keepOnly(const std::vector<LeafEntry>& entries) {
-  now().keepOnly(entries);
-  settle();
+  machineNow().keepOnly(entries);
+  performEffects();
 }
 void LeafSockets::send(const std::string& server, std::vector<Call> calls) {
-  now().send(server, std::move(calls));
-  settle();
+  machineNow().send(server, std::move(calls));
+  performEffects();
 }
 void LeafSockets::giveUp(Handle attempt) {
-  now().giveUp(attempt);
-  settle();
+  machineNow().giveUp(attempt);
+  performEffects();
 }
 void LeafSockets::withdraw(Handle attempt) {
-  now().withdraw(attempt);
-  settle();
+  machineNow().withdraw(attempt);
+  performEffects();
 }
 void LeafSockets::forget(const std::string& id) {
-  now().forget(id);
-  settle();
+  machineNow().forget(id);
+  performEffects();
 }
 void LeafSockets::closeIdle(const std::string& server) {
-  now().closeIdle(server);
-  settle();
+  machineNow().closeIdle(server);
+  performEffects();
 }
 void LeafSockets::closeAll() {
-  now().closeAll();
-  settle();
+  machineNow().closeAll();
+  performEffects();
 }
 
 }  // namespace cometdeal::net
--- a/src/leaf/sockets.hpp
+++ b/src/leaf/sockets.hpp
@@ -1,5 +1,5 @@
-// The sockets of the connections to leaf servers. What goes on them, and how each attempt ended, is decided
-// by a machine; this carries out its effects and tells it what happened.
+// The sockets of the connections to leaf servers. A protocol's state machine decides what is sent on them and
+// how each attempt ends; this performs the machine's effects and reports the sockets' events to it.
 #pragma once
 
 #include <array>
@@ -16,6 +16,7 @@
 
 namespace cometdeal::net {
 
+// Runs one protocol on the event loop's sockets. See LeafSide for the methods that it overrides.
 class LeafSockets : public LeafSide {
  public:
   using tcp = boost::asio::ip::tcp;
@@ -34,26 +35,26 @@
 
  private:
   struct Socket {
-    Socket(const boost::asio::any_io_executor& ex, Handle l) : socket(ex), link(l) {}
+    Socket(const boost::asio::any_io_executor& ex, Handle c) : socket(ex), connection(c) {}
     tcp::socket socket;
-    Handle link;
+    Handle connection;
     bool closed = false;
     std::array<char, 16384> incoming;
   };
   struct Driver;
 
-  LeafMachine& now();
-  void settle();  // carries out what the machine asks for
-  void open(Handle link, const Address& address);
-  void flush(Handle link);
-  void close(Handle link, bool reset);
-  void failed(Handle link, const char* why);
+  LeafMachine& machineNow();  // the machine, with its time set to now
+  void performEffects();      // until the machine has none left
+  void open(Handle connection, const Address& address);
+  void flush(Handle connection);
+  void close(Handle connection, bool reset);
+  void failed(Handle connection, const char* reason);
 
   Loop& loop_;
   std::unique_ptr<LeafMachine> machine_;
   Alarm alarm_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<Socket>> sockets_;  // by link
-  bool settling_ = false, woken_ = false;
+  std::unordered_map<std::uint64_t, std::shared_ptr<Socket>> sockets_;  // by connection
+  bool performing_ = false, wakePosted_ = false;
 };
 
 }  // namespace cometdeal::net
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -11,14 +11,15 @@
 
 using boost::system::error_code;
 
-constexpr int kWaitMs = 20'000;
-constexpr Micros kGrace = 2'000'000;  // beyond the wait; all there is for what comes at once
-constexpr Micros kGapFirst = 50'000, kGapMost = 1'000'000;
+constexpr int kPollTimeoutMs = 20'000;  // how long the agent may hold a request until something changes
+// Time for connecting, for an answer that is due at once, and for an answer beyond the poll time-out.
+constexpr Micros kGrace = 2'000'000;
+constexpr Micros kMinRetryDelay = 50'000, kMaxRetryDelay = 1'000'000;
 
 }  // namespace
 
-// Connects, then asks and reads in turn: the next call goes out as soon as an answer is in, for a later one
-// would start a new watch.
+// Connects, then sends requests and reads answers in turn. The next request is sent as soon as an answer is
+// complete; a later one would start a new watch.
 struct Discovery::Driver : boost::asio::coroutine {
   Discovery* d;
   std::shared_ptr<Connection> c;
@@ -33,7 +34,7 @@
       c->socket.set_option(tcp::no_delay(true), ec);
       for (;;) {
         c->request = d->nextRequest();
-        d->expect(kGrace + (d->index_ ? Micros(kWaitMs) * 1000 : 0));
+        d->setDeadline(kGrace + (d->index_ ? Micros(kPollTimeoutMs) * 1000 : 0));
         BOOST_ASIO_CORO_YIELD boost::asio::async_write(c->socket, boost::asio::buffer(c->request), *this);
         for (;;) {
           {
@@ -63,7 +64,7 @@
       address_(std::move(address)),
       zones_(std::move(zones)),
       index_(index),
-      gap_(kGapFirst) {}
+      retryDelay_(kMinRetryDelay) {}
 
 void Discovery::start() { connect(); }
 
@@ -76,49 +77,49 @@
   connection_.reset();
 }
 
-// Another address is another agent, and its versions may be numbered in another way: a watch from the version
-// that the old one told could miss what changed since, so the whole list is asked for.
+// Another address is another agent, which may number its versions differently: a watch from the version that
+// the old agent reported could miss changes, so the full list is requested.
 void Discovery::moveTo(const Address& address, std::vector<std::string> zones) {
   if (address == address_ && zones == zones_) return;
   stop();
   address_ = address;
   zones_ = std::move(zones);
   index_.reset();
-  gap_ = kGapFirst;
+  retryDelay_ = kMinRetryDelay;
   connect();
 }
 
 void Discovery::connect() {
   connection_ = std::make_shared<Connection>(loop_.strand);
-  expect(kGrace);
+  setDeadline(kGrace);
   Driver(this, connection_)();
 }
 
 std::string Discovery::nextRequest() const {
   std::string target = "/discovery/hosts";
-  if (index_) target += "?since=" + std::to_string(*index_) + "&timeout_ms=" + std::to_string(kWaitMs);
+  if (index_) target += "?since=" + std::to_string(*index_) + "&timeout_ms=" + std::to_string(kPollTimeoutMs);
   return writeGet(target, asText(address_));
 }
 
-void Discovery::expect(Micros patience) {
+void Discovery::setDeadline(Micros timeout) {
   loop_.deadlines.drop(deadline_);
-  deadline_ = loop_.deadlines.add(loop_.now() + patience, [this] {
+  deadline_ = loop_.deadlines.add(loop_.now() + timeout, [this] {
     deadline_.reset();
-    if (connection_) failed(*connection_, "no answer");
+    if (connection_) failed(*connection_, "no answer before the time-out");
   });
 }
 
-// A malformed list leaves everything as it was, and the whole list is asked for next: what changed can't be
-// told.
+// A malformed list changes nothing. The full list is requested next, since the changes in the malformed one
+// are not known.
 bool Discovery::accept(const HttpMessage& response) {
   const nlohmann::json body = nlohmann::json::parse(response.body, nullptr, false);
   try {
-    if (response.status != 200 || !body.is_object()) throw BadConfig("not a list");
+    if (response.status != 200 || !body.is_object()) throw BadConfig("the answer is not a list");
     LeafList list = readList(body, zones_);
-    // Changes are only good after the version that they were asked from.
-    if (!list.whole && !index_) throw BadConfig("changes, where the whole list was asked for");
+    // Changes apply only to the version from which they were requested.
+    if (!list.whole && !index_) throw BadConfig("got changes where the full list was requested");
     index_ = list.index;
-    gap_ = kGapFirst;
+    retryDelay_ = kMinRetryDelay;
     counters_.add(Count::lists);
     if (onList && (list.whole || !list.entries.empty())) onList(std::move(list));
     return true;
@@ -130,20 +131,20 @@
   }
 }
 
-void Discovery::failed(Connection& c, const char* why) {
+void Discovery::failed(Connection& c, const char* reason) {
   if (c.closed) return;
   c.closed = true;
   error_code ignored;
   c.socket.close(ignored);
   connection_.reset();
   counters_.add(Count::discoveryFailures);
-  logLine("discovery: %s", why);
+  logLine("discovery: %s", reason);
   loop_.deadlines.drop(deadline_);
-  deadline_ = loop_.deadlines.add(loop_.now() + gap_, [this] {
+  deadline_ = loop_.deadlines.add(loop_.now() + retryDelay_, [this] {
     deadline_.reset();
     connect();
   });
-  gap_ = std::min(kGapMost, gap_ * 2);
+  retryDelay_ = std::min(kMaxRetryDelay, retryDelay_ * 2);
 }
 
 }  // namespace cometdeal::net
--- a/src/membership/discovery.hpp
+++ b/src/membership/discovery.hpp
@@ -1,4 +1,5 @@
-// The watch on discovery: keeps one going, tells each list that came, connects again with back-off.
+// The client of the discovery agent: watches the list of leaf servers by long polling, reports every list and
+// set of changes received, and reconnects with back-off.
 #pragma once
 
 #include <array>
@@ -16,24 +17,29 @@
 
 namespace cometdeal::net {
 
+// Watches from start() to stop(). After a failure it reconnects, with delays that grow from 50 ms to 1 s.
 class Discovery {
  public:
   using tcp = boost::asio::ip::tcp;
 
+  // `zones`: the names that the list's zones are matched against. `index`: the version of the list that is
+  // already known, from which changes are requested; none: the full list is requested first.
   Discovery(Loop& loop, Counters& counters, Address address, std::vector<std::string> zones,
             std::optional<std::int64_t> index);
+  // Called with every full list and with every non-empty set of changes.
   std::function<void(LeafList)> onList;
   void start();
   void stop();
-  // At once, whatever is under way at the old one. Other zones want the whole list read anew.
+  // Drops the current request and requests the full list, from `address` and read with `zones`. Does nothing
+  // if both are unchanged.
   void moveTo(const Address& address, std::vector<std::string> zones);
 
  private:
   struct Connection {
     explicit Connection(const boost::asio::any_io_executor& ex)
-        : socket(ex), parser(HttpParser::Kind::response, kListMost) {}
-    static constexpr std::size_t kListMost =
-        1 << 20;  // the agent keeps to 64 KiB; a larger list is still a list
+        : socket(ex), parser(HttpParser::Kind::response, kMaxListBytes) {}
+    // The agent limits itself to 64 KiB, but a longer list is accepted too.
+    static constexpr std::size_t kMaxListBytes = 1 << 20;
     tcp::socket socket;
     HttpParser parser;
     std::string request;
@@ -46,17 +52,17 @@
   void connect();
   std::string nextRequest() const;
   bool accept(const HttpMessage& response);
-  void failed(Connection& c, const char* why);
-  void expect(Micros patience);
+  void failed(Connection& c, const char* reason);
+  void setDeadline(Micros timeout);  // for the answer that is outstanding
 
   Loop& loop_;
   Counters& counters_;
   Address address_;
   std::vector<std::string> zones_;
-  std::optional<std::int64_t> index_;  // none: the whole list is asked for
+  std::optional<std::int64_t> index_;  // version of the list held; none: the full list is requested
   std::shared_ptr<Connection> connection_;
   std::optional<Deadlines::Key> deadline_;
-  Micros gap_;
+  Micros retryDelay_;
 };
 
 }  // namespace cometdeal::net
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,5 +1,5 @@
-// Parsers, tables and deadlines by themselves, and the connections to one scripted leaf server. Plain
-// asserts.
+// Tests of the parsers, the slot table, the deadlines and the settings change on their own, and of the
+// connections to one scripted leaf server. With plain asserts.
 #include <cassert>
 #include <cmath>
 #include <cstdio>
@@ -23,12 +23,12 @@
 #include "leaf/sockets.hpp"
 
 #ifdef NDEBUG
-#error "a test without asserts can't fail"
+#error "this test needs its asserts: build it without NDEBUG"
 #endif
 
-static long liveAllocations = 0;  // of this process; for what must not grow
+static long liveAllocations = 0;  // of this process; for boundedMemory()
 
-// Not inlined: GCC 12 would take the free for one of what some other new had given.
+// Not inlined: otherwise GCC 12 warns of a free() of memory that another operator new has allocated.
 [[gnu::noinline]] void* operator new(std::size_t size) {
   void* out = std::malloc(size);
   if (!out) throw std::bad_alloc();
@@ -46,7 +46,8 @@
 
 namespace {
 
-// 0: done; -1: more is wanted; otherwise the status to turn it away with. In pieces of any size the same.
+// Parses a request. Returns 0: complete; -1: incomplete; otherwise the HTTP status to reject it with. Asserts
+// that the result does not depend on the sizes of the pieces in which the bytes arrive.
 int parse(const std::string& text, HttpMessage* out = nullptr, std::string* left = nullptr) {
   int result[3];
   const std::size_t pieces[3] = {1, 7, 100'000};
@@ -99,7 +100,8 @@
   assert(parse(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n") == 400);
   assert(parse(head + "Transfer-Encoding: chunked\r\n\r\n10000\r\n" + std::string(65536, 'x') +
                "\r\n1\r\n") == 413);
-  assert(parse(head + "X: " + std::string(20'000, 'x')) == 431);  // no end in sight: nothing is kept of it
+  assert(parse(head + "X: " + std::string(20'000, 'x')) ==
+         431);  // a line without an end: rejected at the limit
 }
 
 void frames() {
@@ -114,26 +116,27 @@
   assert(answer->value == "va\nlue" && answer->load->held == 7 && answer->load->waiting == 2);
   assert(readAnswer({'O', "q 503 - -\n"})->outcome == Outcome::busy);
   assert(readAnswer({'O', "q 500 0 -\n"})->outcome == Outcome::error);
-  // Scores are compared: two that differ in the last of 64 bits must not come out equal.
+  // Scores are compared with each other, so two that differ in the lowest of 64 bits must not be read as
+  // equal.
   assert(readAnswer({'O', "q 200 18446744073709551615 -\n"})->score >
          readAnswer({'O', "q 200 18446744073709551614 -\n"})->score);
   for (const char* bad : {"", "q 200 1 -", "q 200 1\n", "q 201 1 -\n", "q 200 x -\n", " 200 1 -\n"})
     assert(!readAnswer({'O', bad}));
-  // A report that can't be read takes nothing from the answer it came with.
+  // A malformed load report does not invalidate the answer that contains it.
   for (const char* report :
        {"a", "", "inflight=x", "inflight=nan", "inflight=-1", "queue=1,,", "{ \"a\" }"}) {
     const auto good = readAnswer({'O', std::string("q 200 1 ") + report + "\nv"});
     assert(good && good->outcome == Outcome::done && good->value == "v" && !good->load);
   }
-  // A frame whose length does not fit has taken in the head of the next one.
+  // A frame whose length is too great includes the header of the next frame.
   assert(!readAnswer({'O', "q 200 1 -\nva" + writeFrame('O', "r 200 1 -\nlue")}));
-  // A value that JSON can't hold would reach the client changed.
+  // A value that is not valid UTF-8 cannot be put into JSON unchanged.
   assert(readAnswer({'O', "q 200 1 -\n\xc3\xa9\xf0\x9f\x9a\x91"}));
   for (const char* value : {"\xff", "\xc3", "\xc3(", "\xc0\x80", "\xed\xa0\x80", "\xf4\x90\x80\x80"})
     assert(!readAnswer({'O', std::string("q 200 1 -\n") + value}));
   assert(!readAnswer({'Z', "q 200 1 -\n"}));
   assert(writePart("q.1", 1, "d=5", "ab") == "q.1 1 d=5 2\nab");
-  // What can be seen to be no frame is not waited for.
+  // Visibly malformed frames are rejected before they are complete.
   for (const std::string& bad :
        {std::string(4, '\0'), std::string("\xff\xff\xff\x7f"), writeFrame('Q', "x").substr(0, 5),
         writeFrame('O', std::string(2000, 'x')).substr(0, 1500)}) {
@@ -153,24 +156,24 @@
 }
 
 void deadlines() {
-  Deadlines all;
+  Deadlines deadlines;
   std::string ran;
-  int earlier = 0;
-  all.onEarlier = [&] { ++earlier; };
-  all.add(30, [&] { ran += 'c'; });
-  std::optional<Deadlines::Key> dropped = all.add(20, [&] { ran += 'x'; });
+  int earlierCalls = 0;
+  deadlines.onEarlier = [&] { ++earlierCalls; };
+  deadlines.add(30, [&] { ran += 'c'; });
+  std::optional<Deadlines::Key> dropped = deadlines.add(20, [&] { ran += 'x'; });
   std::optional<Deadlines::Key> other;
-  all.add(10, [&] {
+  deadlines.add(10, [&] {
     ran += 'a';
-    all.drop(dropped);                 // one that is due in the same sweep
-    all.add(10, [&] { ran += 'b'; });  // for the next sweep, or a sweep might never end
-    other = all.add(25, [&] { ran += 'y'; });
+    deadlines.drop(dropped);                 // is due in the same sweep
+    deadlines.add(10, [&] { ran += 'b'; });  // runs in the next sweep, so that every sweep ends
+    other = deadlines.add(25, [&] { ran += 'y'; });
   });
-  assert(earlier == 3 && all.next() == 10);
-  assert(all.sweep(9) == 0 && all.sweep(30) == 2 && ran == "ac" && !dropped);
-  all.drop(other);
-  all.drop(other);
-  assert(all.sweep(30) == 1 && ran == "acb" && all.size() == 0 && !all.next());
+  assert(earlierCalls == 3 && deadlines.next() == 10);
+  assert(deadlines.sweep(9) == 0 && deadlines.sweep(30) == 2 && ran == "ac" && !dropped);
+  deadlines.drop(other);
+  deadlines.drop(other);
+  assert(deadlines.sweep(30) == 1 && ran == "acb" && deadlines.size() == 0 && !deadlines.next());
 }
 
 void requests() {
@@ -188,8 +191,8 @@
   const ReadQuery read = readQuery(m, host, 1'000'000);
   assert(read.status == 0 && read.query.key == "user7" && read.query.repeated && read.query.text == "c4");
   assert(read.query.parts.size() == 2 && read.query.parts[1].shard == 7 && read.query.parts[1].weight == 0.5);
-  // 35 parts, each weight rounded by itself: the sum lacks 15 millionths of a whole, and all of them make
-  // one.
+  // 35 parts whose weights are rounded separately: their sum is 15 millionths below 1, and they are scaled
+  // to 1.
   HttpMessage many = m;
   HostSettings wide = host;
   wide.shards = 35;
@@ -198,10 +201,11 @@
     many.body += (k ? "," : "") + ("{\"id\":" + std::to_string(k)) + R"(,"w":0.028571})";
   many.body += "]}";
   const ReadQuery rounded = readQuery(many, wide, 0);
-  double whole = 0;
-  for (const QueryPart& part : rounded.query.parts) whole += part.weight;
-  assert(rounded.status == 0 && rounded.query.parts.size() == 35 && std::abs(whole - 1.0) < 1e-9);
-  // The client counts from when it sent: the end lies ahead of what its time would give from here.
+  double sum = 0;
+  for (const QueryPart& part : rounded.query.parts) sum += part.weight;
+  assert(rounded.status == 0 && rounded.query.parts.size() == 35 && std::abs(sum - 1.0) < 1e-9);
+  // The client's time-out runs from when it sent the request, so the deadline is earlier than the time-out
+  // counted from the arrival.
   assert(read.query.until < 1'480'000 && read.query.until > 1'400'000);
   const auto status = [&](auto change) {
     HttpMessage other = m;
@@ -215,7 +219,7 @@
   for (const char* time : {"", "0", "-1", "nan", "inf", "1e3", "5s", "99999"})
     assert(status([&](auto& o) { o.headers[2].second = time; }) == 400);
   assert(status([](auto& o) { o.headers[1].second = "keyed"; }) == 400);
-  for (const std::size_t twice : {0, 1, 2})  // which of the two counts would be a guess
+  for (const std::size_t twice : {0, 1, 2})  // a header given twice is ambiguous
     assert(status([&](auto& o) { o.headers.push_back(o.headers[twice]); }) == 400);
   for (const char* body :
        {"", "[]", "{}", R"({"parts":[],"expr":""})", R"({"parts":[{"id":0,"w":1}]})",
@@ -239,7 +243,7 @@
   const LeafList list = readList(good, {"a", "b"});
   assert(list.index == 4 && list.whole && list.entries.size() == 2 && list.entries[0].zone == 1);
   assert(list.entries[0].state == ServerState::draining && list.entries[1].state == ServerState::gone);
-  const auto refused = [&](const char* path, json value) {
+  const auto rejected = [&](const char* path, json value) {
     json body = good;
     body[json::json_pointer(path)] = std::move(value);
     try {
@@ -249,15 +253,16 @@
       return true;
     }
   };
-  assert(refused("/index", "x") && refused("/snapshot", 1) && refused("/endpoints", json::object()));
-  assert(refused("/endpoints/0/status", "Asleep") && refused("/endpoints/0/address", "nowhere"));
+  assert(rejected("/index", "x") && rejected("/snapshot", 1) && rejected("/endpoints", json::object()));
+  assert(rejected("/endpoints/0/status", "Asleep") && rejected("/endpoints/0/address", "nowhere"));
   for (const char* path : {"/index", "/endpoints/0/group", "/endpoints/0/since_ms"})
-    assert(refused(path, 1e30) && refused(path, -1e30));
-  assert(refused("/endpoints/0/group", 1LL << 40));
-  assert(refused("/endpoints/0/name", "") && refused("/endpoints/0/address", "127.0.0.1:99999"));
+    assert(rejected(path, 1e30) && rejected(path, -1e30));
+  assert(rejected("/endpoints/0/group", 1LL << 40));
+  assert(rejected("/endpoints/0/name", "") && rejected("/endpoints/0/address", "127.0.0.1:99999"));
 }
 
-// One leaf server, scripted: what it reads and sends is done by hand between runs of the loop.
+// The connections to one scripted leaf server, whose reads and writes the tests do themselves between runs of
+// the loop.
 struct LeafRig {
   using tcp = boost::asio::ip::tcp;
   Loop loop;
@@ -267,16 +272,16 @@
   Slots<int> attempts;
   std::vector<std::pair<Handle, Outcome>> ends;
 
-  static LinkLimits limits(Micros connIdle, int most) {
+  static LinkLimits limits(Micros connIdle, int maxConnections) {
     LinkLimits out;
     out.streams = 2;
     out.connectTimeout = 10'000'000;
     out.connIdle = connIdle;
-    out.linksMost = most;
+    out.linksMost = maxConnections;
     return out;
   }
-  explicit LeafRig(Micros connIdle = 0, int most = 8)
-      : leaves(loop, std::make_unique<Links>(limits(connIdle, most), &counters)) {
+  explicit LeafRig(Micros connIdle = 0, int maxConnections = 8)
+      : leaves(loop, std::make_unique<Links>(limits(connIdle, maxConnections), &counters)) {
     leaves.onEnded = [this](Handle h, Outcome outcome, LeafAnswer) { ends.emplace_back(h, outcome); };
     update(ServerState::serving);
   }
@@ -295,11 +300,11 @@
     return h;
   }
   template <typename Done>
-  void until(Done done) {
+  void runUntil(Done done) {
     while (!done()) loop.io.run_one_for(std::chrono::seconds(1));
   }
   tcp::socket accept() { return acceptor.accept(); }
-  // The next frame, read by the server's side.
+  // Reads the next frame as the server.
   static Frame read(tcp::socket& socket, FrameReader& reader) {
     Frame frame;
     std::array<char, 4096> bytes;
@@ -309,31 +314,31 @@
   }
 };
 
-// The ids of an attempt given up and of a newer one of the same part are equal: they never share a
-// connection, and the late answer of the first passes for nothing.
+// An abandoned attempt and a newer one of the same part have the same id. They must not share a connection,
+// and the late answer to the first must be ignored, or it would be taken for the answer to the second.
 void lateAnswerOfAnOlderAttempt() {
   LeafRig rig;
   const Handle first = rig.send("q.0");
   auto a = rig.accept();
   FrameReader fromA("DK"), fromB("DK");
-  rig.until([&] { return a.available() > 0; });
+  rig.runUntil([&] { return a.available() > 0; });
   assert(LeafRig::read(a, fromA).letter == 'D');
   rig.leaves.giveUp(first);
   assert(LeafRig::read(a, fromA).letter == 'K');
   const Handle second = rig.send("q.0");
   auto b = rig.accept();
-  rig.until([&] { return b.available() > 0; });
+  rig.runUntil([&] { return b.available() > 0; });
   assert(LeafRig::read(b, fromB).letter == 'D');
   a.write_some(boost::asio::buffer(writeFrame('O', "q.0 200 1 -\nold")));
-  rig.until([&] { return rig.counters.of(Count::lateAnswers) == 1; });
+  rig.runUntil([&] { return rig.counters.of(Count::lateAnswers) == 1; });
   assert(rig.ends.empty());
   b.write_some(boost::asio::buffer(writeFrame('O', "q.0 200 1 -\nnew")));
-  rig.until([&] { return !rig.ends.empty(); });
+  rig.runUntil([&] { return !rig.ends.empty(); });
   assert(rig.ends.size() == 1 && rig.ends[0] == std::make_pair(second, Outcome::done));
 }
 
-// Where connections break under requests, parts are spread over several, so that a break costs one of them;
-// when the breaks are over, one connection carries all again.
+// While connections break with parts outstanding, parts are spread over several connections, so that a break
+// fails only one of them; after the breaks one connection carries all parts again.
 void breaksSpreadParts() {
   Counters counters;
   LinkLimits limits;
@@ -347,7 +352,7 @@
   entry.address = {"127.0.0.1", 1};
   links.update(entry);
   int ended = 0, sent = 0;
-  std::set<std::uint64_t> wroteTo;  // connections that calls went to since it was cleared
+  std::set<std::uint64_t> wroteTo;  // connections that were written to since it was cleared
   const auto settle = [&] {
     while (!links.quiet())
       for (const Links::Effect& effect : links.take()) {
@@ -381,25 +386,26 @@
   settle();
   assert(ended == 1);
   send(20);
-  assert(int(links.size()) == limits.spreadMost);
+  assert(int(links.size()) == limits.maxSpreadConnections);
   links.at(now += 20'000'000);
   send(4);
   assert(wroteTo.size() == 1);
 }
 
-// A send that still waits for its connection goes out neither after its end nor to a server told to drain.
+// A part that waits for its connection to be established must not be sent once its attempt is abandoned or
+// its server is draining.
 void waitingSends() {
   LeafRig rig;
-  const Handle dropped = rig.send("q.0"), kept = rig.send("q.1");
-  rig.leaves.giveUp(dropped);
+  const Handle abandoned = rig.send("q.0"), sent = rig.send("q.1");
+  rig.leaves.giveUp(abandoned);
   auto a = rig.accept();
   FrameReader reader("DK");
-  rig.until([&] { return a.available() > 0; });
+  rig.runUntil([&] { return a.available() > 0; });
   assert(LeafRig::read(a, reader).rest.starts_with("q.1 "));
   assert(rig.ends.empty());
   a.close();
-  rig.until([&] { return !rig.ends.empty(); });
-  assert(rig.ends.back() == std::make_pair(kept, Outcome::reset));
+  rig.runUntil([&] { return !rig.ends.empty(); });
+  assert(rig.ends.back() == std::make_pair(sent, Outcome::reset));
   const Handle late = rig.send("q.2");
   rig.update(ServerState::draining);
   assert(rig.ends.back() == std::make_pair(late, Outcome::connectFailed));
@@ -407,8 +413,9 @@
   assert(rig.ends.back() == std::make_pair(refused, Outcome::connectFailed));
 }
 
-// A connection from before its server's last start is dead even if nothing has said so, and what is out on it
-// was lost; one that is newer than that start is good, for the list tells of it late.
+// A connection that is older than its server's last start is dead even if no reset was received, and the
+// parts that are outstanding on it are lost. The list reports a start late, so a connection may be newer than
+// it; then it stays open.
 void restartedServer() {
   using namespace std::chrono;
   LeafRig rig;
@@ -416,7 +423,7 @@
       duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count() - 1000;
   const Handle h = rig.send("q.0");
   auto a = rig.accept();
-  rig.until([&] { return a.available() > 0; });
+  rig.runUntil([&] { return a.available() > 0; });
   rig.update(ServerState::serving, before);
   assert(rig.ends.empty() && rig.leaves.connections() == 1);
   rig.update(ServerState::serving, before + 60'000);
@@ -424,86 +431,91 @@
   assert(rig.leaves.connections() == 0);
 }
 
-// A connection carries so many streams, then there is another; idle ones are closed ahead of the limit, and
-// at the bound on connections a send fails rather than take the descriptors of others.
-void connections() {
-  LeafRig rig(/*connIdle=*/200'000, /*most=*/2);
+// A connection that carries its maximum of parts is joined by another. Idle connections are closed before the
+// server's idle limit. At the limit of connections a send fails rather than use the descriptors that others
+// need.
+void connectionLimits() {
+  LeafRig rig(/*connIdle=*/200'000, /*maxConnections=*/2);
   for (const char* id : {"q.0", "q.1", "q.2", "q.3"}) rig.send(id);
   assert(rig.leaves.connections() == 2 && rig.ends.empty());
   const Handle fifth = rig.send("q.4");
   assert(rig.ends.back() == std::make_pair(fifth, Outcome::connectFailed));
   auto a = rig.accept(), b = rig.accept();
   FrameReader reader("DK");
-  rig.until([&] { return a.available() > 0 && b.available() > 0; });
+  rig.runUntil([&] { return a.available() > 0 && b.available() > 0; });
   for (const char* id : {"q.0", "q.1"})
     a.write_some(boost::asio::buffer(writeFrame('O', std::string(id) + " 200 1 -\n")));
-  rig.until([&] { return rig.ends.size() == 3; });
-  rig.until([&] { return rig.leaves.connections() == 1; });  // the idle one; the other has parts out
+  rig.runUntil([&] { return rig.ends.size() == 3; });
+  rig.runUntil([&] {
+    return rig.leaves.connections() == 1;
+  });  // the idle one is closed; the other has parts outstanding
   assert(rig.counters.of(Count::leafConnectionsLost) == 0);
 }
 
-// An id that was never asked for there tells that an answer is spoilt: nothing more is waited for on that
-// connection. A second copy, and the late answer of what was given up, even after its query has ended, are no
-// such fault.
-void answersToNothing() {
+// An answer with an id that was never sent on the connection has a corrupted id, so the attempt that it
+// belongs to would wait in vain: the connection is closed. A duplicate answer, and the late answer to an
+// abandoned attempt, even after its query has ended, are no such fault.
+void unexpectedAnswers() {
   LeafRig rig;
   const Handle first = rig.send("q.0");
   auto a = rig.accept();
   FrameReader reader("DK");
-  rig.until([&] { return a.available() > 0; });
+  rig.runUntil([&] { return a.available() > 0; });
   assert(LeafRig::read(a, reader).letter == 'D');
   const std::string answer = writeFrame('O', "q.0 200 1 -\nv");
   a.write_some(boost::asio::buffer(answer + answer));
-  rig.until([&] { return rig.counters.of(Count::lateAnswers) == 1; });
+  rig.runUntil([&] { return rig.counters.of(Count::lateAnswers) == 1; });
   assert(rig.ends.size() == 1 && rig.ends[0] == std::make_pair(first, Outcome::done));
   const Handle second = rig.send("q.1"), third = rig.send("q.2");
   rig.leaves.giveUp(second);
   rig.leaves.forget("q.1");
   a.write_some(boost::asio::buffer(writeFrame('O', "q.1 200 1 -\nv")));
-  rig.until([&] { return rig.counters.of(Count::lateAnswers) == 2; });
+  rig.runUntil([&] { return rig.counters.of(Count::lateAnswers) == 2; });
   assert(rig.ends.size() == 1 && rig.counters.of(Count::badFrames) == 0);
   a.write_some(boost::asio::buffer(writeFrame('O', "q.7 200 1 -\nv")));
-  rig.until([&] { return rig.ends.size() > 1; });
+  rig.runUntil([&] { return rig.ends.size() > 1; });
   assert(rig.ends[1] == std::make_pair(third, Outcome::reset) && rig.counters.of(Count::badFrames) == 1);
   assert(rig.leaves.connections() == 0);
 }
 
-// A frame that does not end takes in the answers behind it: it has so much time, and where nothing was to
-// come nothing new is sent behind it.
-void endlessFrames() {
+// A frame with too great a length would swallow the answers after it, so the rest of a frame has to arrive in
+// time. While a connection with nothing outstanding holds an incomplete frame, no new parts are sent on it.
+void incompleteFrames() {
   LeafRig rig;
   const Handle first = rig.send("q.0");
   auto a = rig.accept();
-  rig.until([&] { return a.available() > 0; });
-  const std::string whole = writeFrame('O', "q.0 200 1 -\nvalue");
-  a.write_some(boost::asio::buffer(whole.substr(0, whole.size() - 1)));
-  rig.until([&] { return !rig.ends.empty(); });
+  rig.runUntil([&] { return a.available() > 0; });
+  const std::string complete = writeFrame('O', "q.0 200 1 -\nvalue");
+  a.write_some(boost::asio::buffer(complete.substr(0, complete.size() - 1)));
+  rig.runUntil([&] { return !rig.ends.empty(); });
   assert(rig.ends[0] == std::make_pair(first, Outcome::reset) && rig.counters.of(Count::badFrames) == 1);
   const Handle second = rig.send("q.0");
   auto b = rig.accept();
-  rig.until([&] { return b.available() > 0; });
-  b.write_some(boost::asio::buffer(whole + whole.substr(0, 3)));
-  rig.until([&] { return rig.ends.size() == 2; });
+  rig.runUntil([&] { return b.available() > 0; });
+  b.write_some(boost::asio::buffer(complete + complete.substr(0, 3)));
+  rig.runUntil([&] { return rig.ends.size() == 2; });
   assert(rig.ends[1] == std::make_pair(second, Outcome::done));
   rig.send("q.1");
   assert(rig.leaves.connections() == 2);
 }
 
-// A connection that fell silent while its server is well is left for a newer one, and dropped when that one
-// answers: its parts have timed out, and it is reset, so that what the other side has not read is not read
-// later.
+// A connection that is silent while its server is well gets no new parts; they go to a newer one. When
+// answers arrive on the newer one, the silent one is closed: its parts end as timed out, and it is closed
+// with a reset, so that the other side does not read later what it has not read yet.
 void silentConnections() {
   LeafRig rig;
   const Handle stuck = rig.send("q.1");
   auto a = rig.accept();
-  rig.until([&] { return a.available() > 0; });
-  std::this_thread::sleep_for(std::chrono::milliseconds(300));  // longer than any answer is waited for here
-  rig.send("q.2"), rig.send("q.3");
+  rig.runUntil([&] { return a.available() > 0; });
+  std::this_thread::sleep_for(
+      std::chrono::milliseconds(300));  // longer than the time after which a connection is silent here
+  rig.send("q.2");
+  rig.send("q.3");
   assert(rig.leaves.connections() == 2);
   auto b = rig.accept();
-  rig.until([&] { return b.available() > 0; });
+  rig.runUntil([&] { return b.available() > 0; });
   b.write_some(boost::asio::buffer(writeFrame('O', "q.2 200 1 -\n") + writeFrame('O', "q.3 200 1 -\n")));
-  rig.until([&] { return rig.ends.size() == 3; });
+  rig.runUntil([&] { return rig.ends.size() == 3; });
   assert(rig.ends[0].second == Outcome::done);
   assert(std::ranges::count(rig.ends, std::make_pair(stuck, Outcome::timedOut)) == 1);
   assert(rig.leaves.connections() == 1 && rig.counters.of(Count::leafConnectionsSilent) == 1);
@@ -512,48 +524,48 @@
   assert(ec == boost::asio::error::connection_reset);
 }
 
-// A server does not answer what was given up: that alone makes no connection silent.
-void givenUpIsNoSilence() {
+// A server does not answer abandoned attempts, so these alone do not make a connection silent.
+void abandonedAttemptIsNotSilence() {
   LeafRig rig;
   const Handle h = rig.send("q.0");
   auto a = rig.accept();
-  rig.until([&] { return a.available() > 0; });
+  rig.runUntil([&] { return a.available() > 0; });
   rig.leaves.giveUp(h);
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   rig.send("q.1");
   assert(rig.leaves.connections() == 1);
 }
 
-// After its query's final answer a send that still waits for its connection does not go out; one that has
-// gone out is not taken back.
+// After its query's final answer a part that still waits for its connection is withdrawn; one that is written
+// is not.
 void withdrawnSends() {
   LeafRig rig;
-  const Handle waiting = rig.send("q.0"), kept = rig.send("q.1");
+  const Handle waiting = rig.send("q.0"), written = rig.send("q.1");
   rig.leaves.withdraw(waiting);
   assert(rig.ends.back() == std::make_pair(waiting, Outcome::cancelled));
   assert(rig.counters.of(Count::withdrawn) == 1);
   auto a = rig.accept();
   FrameReader reader("DK");
-  rig.until([&] { return a.available() > 0; });
+  rig.runUntil([&] { return a.available() > 0; });
   assert(LeafRig::read(a, reader).rest.starts_with("q.1 "));
-  rig.leaves.withdraw(kept);
+  rig.leaves.withdraw(written);
   assert(rig.ends.size() == 1);
 }
 
-// What a leaf server does not read waits here, whole frame by whole frame: at its query's final answer it is
-// taken back, and past the time by which it must begin it is not begun.
+// Frames that a leaf server does not read wait in the mixer. A frame of which no byte is written is withdrawn
+// at its query's final answer, and is not sent after the time by which it must begin.
 void queuedSends() {
   LeafRig rig;
   rig.acceptor.set_option(boost::asio::socket_base::receive_buffer_size(4096));
   const std::string large(60'000, 'x');
   const Handle first = rig.send("q.0", large);
   auto a = rig.accept();
-  rig.until([&] { return a.available() > 0; });
+  rig.runUntil([&] { return a.available() > 0; });
   const Handle second = rig.send("q.1", large);
   rig.leaves.withdraw(second);
   assert(rig.ends.size() == 1 && rig.ends[0] == std::make_pair(second, Outcome::cancelled));
   rig.leaves.withdraw(first);
-  assert(rig.ends.size() == 1);  // bytes of it are out
+  assert(rig.ends.size() == 1);  // some of its bytes are written
   const Handle overdue = rig.send("q.2", large, rig.loop.now() + 1000);
   std::this_thread::sleep_for(std::chrono::milliseconds(5));
   FrameReader reader("DK");
@@ -581,9 +593,9 @@
   assert(got[0] == "Dq.0" && got[1] == "Kq.0");
 }
 
-// Whatever the module thinks, the ledger sends no part more often than its class allows, nor one that may
-// have run outside the window in which leaf servers drop repeats.
-void repeats() {
+// Whatever the decision module asks for, the ledger sends no part more often than its class allows, and sends
+// no part again that may have run once the window in which leaf servers drop repeats has passed.
+void repeatedSends() {
   Settings set;
   set.classes.resize(3);
   set.classes[1].effect = Effect::keyed;
@@ -593,13 +605,18 @@
   HostSettings host;
   host.classKeyed = {false, true, false};
   const auto rules = std::make_shared<const Ledger::Rules>(Ledger::Rules{set, host});
-  // Sends that go out, of one part sent at 0 s, and again `at`, after the first has ended in that way.
+  // How often a part is sent that is sent at time 0 and, after that attempt has ended with `outcome`, `more`
+  // times at `at`.
   const auto sends = [&](int cls, Outcome outcome, Micros at, int more = 1) {
     Counters counters;
     Ledger ledger(rules, &counters);
     ledger.at(0);
     NewQuery q;
-    q.id = "q", q.cls = cls, q.until = 60'000'000, q.parts = {{0, 1.0}}, q.idempotencyKey = "k";
+    q.id = "q";
+    q.cls = cls;
+    q.until = 60'000'000;
+    q.parts = {{0, 1.0}};
+    q.idempotencyKey = "k";
     Handle h;
     assert(ledger.submit(q, h) == Ledger::Taken::open);
     std::size_t out = 0;
@@ -608,8 +625,10 @@
       ledger.flushCalls();
       Handle last;
       for (const auto& command : ledger.take())
-        if (const auto* calls = std::get_if<Ledger::SendCalls>(&command))
-          out += calls->calls.size(), last = calls->calls[0].attempt;
+        if (const auto* calls = std::get_if<Ledger::SendCalls>(&command)) {
+          out += calls->calls.size();
+          last = calls->calls[0].attempt;
+        }
       return last;
     };
     const Handle first = send();
@@ -622,37 +641,38 @@
   assert(sends(0, Outcome::reset, late) == 2 && sends(1, Outcome::reset, late - 1) == 2);
   assert(sends(1, Outcome::reset, late) == 1 && sends(1, Outcome::connectFailed, late) == 2);
   assert(sends(1, Outcome::done, late) == 1 &&
-         sends(1, Outcome::done, late - 1) == 2);  // the first still out
+         sends(1, Outcome::done, late - 1) == 2);  // the first attempt is still outstanding
   assert(sends(2, Outcome::reset, 1) == 1 && sends(2, Outcome::busy, 1) == 2);
   assert(sends(0, Outcome::reset, 1, 5) == 3 && sends(1, Outcome::connectFailed, 1, 5) == 3);
 }
 
-// At the bound on connections an idle one gives way.
-void roomForAnother() {
-  LeafRig rig(/*connIdle=*/0, /*most=*/1);
+// At the limit of connections an idle one is closed in favour of a new one.
+void idleConnectionReplaced() {
+  LeafRig rig(/*connIdle=*/0, /*maxConnections=*/1);
   rig.update(ServerState::serving, 0, "t");
   rig.send("q.0");
   auto a = rig.accept();
-  rig.until([&] { return a.available() > 0; });
+  rig.runUntil([&] { return a.available() > 0; });
   a.write_some(boost::asio::buffer(writeFrame('O', "q.0 200 1 -\n")));
-  rig.until([&] { return rig.ends.size() == 1; });
+  rig.runUntil([&] { return rig.ends.size() == 1; });
   const Handle h = rig.attempts.add(0);
   rig.leaves.send(
       "t", {Call{h, "q.1", 0, "", std::make_shared<const std::string>("t"), rig.loop.now() + 5'000'000}});
   assert(rig.ends.size() == 1 && rig.leaves.connections() == 1);
 }
 
-// Servers are replaced under new ids for as long as the mixer runs, and clients' ids and keys are always new:
-// what is kept of them must not grow.
-void memory() {
+// Servers are replaced under new ids, and clients send new ids and keys, for as long as the mixer runs: the
+// memory that is used for them must not grow.
+void boundedMemory() {
   Settings set;
   set.classes.resize(1);
-  set.classes[0].aim = 1'000'000, set.classes[0].deadline = 4'000'000;
+  set.classes[0].aim = 1'000'000;
+  set.classes[0].deadline = 4'000'000;
   set.tick = 1000;
   Aggregator module(set, 7);
   LeafRig rig;
   Micros now = 0;
-  long held = 0;
+  long allocationsBefore = 0;
   for (int k = 0; k < 6000; ++k) {
     const std::string n = std::to_string(k);
     std::vector<Event> events;
@@ -668,15 +688,15 @@
       }
     rig.update(ServerState::serving, 0, "s" + n);
     rig.update(ServerState::gone, 0, "s" + n);
-    if (k == 3000) held = liveAllocations;
+    if (k == 3000) allocationsBefore = liveAllocations;
   }
-  assert(std::abs(liveAllocations - held) < 50);
+  assert(std::abs(liveAllocations - allocationsBefore) < 50);
 }
 
-// Holds a process up over the moments at which the module was to end a query and at which the host would: the
-// module goes first, and its answer counts.
-void heldUp() {
-  struct Silent : LeafSide {
+// Stalls the process past both the time at which the decision module should end a query and the time of the
+// host's backstop. The module must run first, so that its answer counts and the backstop does not.
+void moduleRunsBeforeBackstop() {
+  struct IgnoringSide : LeafSide {
     void update(const LeafEntry&) override {}
     void keepOnly(const std::vector<LeafEntry>&) override {}
     void send(const std::string&, std::vector<Call>) override {}
@@ -717,8 +737,9 @@
 
 }  // namespace
 
-// Places of classes: what a query holds never changes its meaning, and their number is bounded.
-void retunes() {
+// Indices of classes over changes of the settings: the index that a query holds never changes its meaning,
+// and the number of indices is bounded.
+void classIndices() {
   Settings set;
   HostSettings host;
   const auto file = [](std::vector<std::pair<std::string, Micros>> classes) {
@@ -732,36 +753,38 @@
     }
     return out;
   };
-  std::set<int> held;
+  std::set<int> heldIndices;
   Micros now = 1000;
-  const auto take = [&](const std::pair<Settings, HostSettings>& next) {
+  const auto apply = [&](const std::pair<Settings, HostSettings>& next) {
     Retune out = retune(
-        set, host, next.first, next.second, [&](int k) { return held.contains(k); }, now);
+        set, host, next.first, next.second, [&](int k) { return heldIndices.contains(k); }, now);
     set = out.settings;
     host = out.host;
     return out.from;
   };
   std::tie(set, host) = file({{"a", 1}, {"b", 2}});
-  // b comes first and a changes: b keeps its place, a gets another and what was learned of it.
-  assert((take(file({{"b", 2}, {"a", 3}})) == std::vector<int>{0, 1, 0}));
+  // b is listed first and a is changed: b keeps its index, a gets a new one together with what was learned of
+  // a.
+  assert((apply(file({{"b", 2}, {"a", 3}})) == std::vector<int>{0, 1, 0}));
   assert(host.classOf("a", now) == 2 && host.classOf("b", now) == 1 && set.classes[2].aim == 3);
   assert(set.classes[0].aim == 1);
-  // a goes and is found for a while; the place of the first a is free, unless it is held.
-  held = {0};
-  assert((take(file({{"b", 2}, {"c", 4}})) == std::vector<int>{0, 1, 2, -1}));
+  // a is removed and can be looked up for a while; the index of the first a is free for reuse unless a query
+  // holds it.
+  heldIndices = {0};
+  assert((apply(file({{"b", 2}, {"c", 4}})) == std::vector<int>{0, 1, 2, -1}));
   assert(host.classOf("a", now) == 2 && host.classOf("c", now) == 3 && set.classes[0].aim == 1);
   now += 60'000'000;
   assert(host.classOf("a", now) == -1 && host.classOf("nobody", now) == -1);
-  held = {};
-  assert((take(file({{"b", 2}, {"c", 4}, {"d", 5}})) == std::vector<int>{-1, 1, 2, 3}));
+  heldIndices = {};
+  assert((apply(file({{"b", 2}, {"c", 4}, {"d", 5}})) == std::vector<int>{-1, 1, 2, 3}));
   assert(host.classOf("d", now) == 0 && set.classes[0].aim == 5);
-  for (int k = 0; k < 100; ++k, now += 100'000) take(file({{"b", 2}, {"c", 100 + k}}));
+  for (int k = 0; k < 100; ++k, now += 100'000) apply(file({{"b", 2}, {"c", 100 + k}}));
   assert(set.classes.size() <= 6 && host.classOf("c", now) >= 0);
 }
 
 int main() {
   httpRequests();
-  retunes();
+  classIndices();
   frames();
   slots();
   deadlines();
@@ -771,16 +794,16 @@
   breaksSpreadParts();
   waitingSends();
   restartedServer();
-  connections();
-  answersToNothing();
-  endlessFrames();
+  connectionLimits();
+  unexpectedAnswers();
+  incompleteFrames();
   silentConnections();
-  givenUpIsNoSilence();
+  abandonedAttemptIsNotSilence();
   withdrawnSends();
   queuedSends();
-  repeats();
-  roomForAnother();
-  memory();
-  heldUp();
+  repeatedSends();
+  idleConnectionReplaced();
+  boundedMemory();
+  moduleRunsBeforeBackstop();
   std::puts("all passed");
 }
