--- a/src/http/http.hpp
+++ b/src/http/http.hpp
@@ -24,7 +24,7 @@
 class HttpParser {
  public:
   enum class Kind { request, response };
-  enum class State { more, done, bad };
+  enum class State { more, done, bad };  // the message is incomplete, complete, malformed
 
   explicit HttpParser(Kind kind, std::size_t maxBodyBytes = 64UL * 1024)
       : kind_(kind), maxBodyBytes_(maxBodyBytes) {}
--- a/src/leaf/frame/frame.cpp
+++ b/src/leaf/frame/frame.cpp
@@ -64,12 +64,12 @@
 
 }  // namespace
 
-std::string writeFrame(char letter, std::string_view rest) {
-  const std::uint32_t length = std::uint32_t(rest.size() + 1);
+std::string writeFrame(char letter, std::string_view content) {
+  const std::uint32_t length = std::uint32_t(content.size() + 1);
   std::string out;
   for (int k = 0; k < 4; ++k) out += char((length >> (8 * k)) & 0xff);
   out += letter;
-  out += rest;
+  out += content;
   return out;
 }
 
@@ -83,10 +83,10 @@
 }
 
 std::optional<LeafAnswer> readAnswer(const Frame& frame) {
-  const std::string_view rest = frame.rest;
-  const std::size_t end = rest.find('\n');
+  const std::string_view content = frame.rest;
+  const std::size_t end = content.find('\n');
   if (frame.letter != 'O' || end == std::string_view::npos) return std::nullopt;
-  std::string_view fields[4], line = rest.substr(0, end);
+  std::string_view fields[4], line = content.substr(0, end);
   for (int k = 0; k < 4; ++k) {
     const std::size_t space = line.find(' ');
     if (k < 3 && space == std::string_view::npos) return std::nullopt;
@@ -106,7 +106,7 @@
     return std::nullopt;
   if (!number(fields[2], out.score) && fields[2] != "-") return std::nullopt;
   if (fields[3] != "-" && !fields[3].empty()) out.load = readReport(fields[3]);
-  out.value = rest.substr(end + 1);
+  out.value = content.substr(end + 1);
   // A frame whose length is too great includes the header of the next frame, whose length contains a zero
   // byte.
   if (out.value.find('\0') != std::string::npos || !isUtf8(out.value)) return std::nullopt;
--- a/src/leaf/frame/frame.hpp
+++ b/src/leaf/frame/frame.hpp
@@ -20,7 +20,7 @@
 };
 
 // The bytes of a frame.
-std::string writeFrame(char letter, std::string_view rest);
+std::string writeFrame(char letter, std::string_view content);
 // One part of a call: the line `ID SHARD LIST LENGTH`, then the text. `list`: comma-separated fields such as
 // `d=MS`, the time that is left.
 std::string writePart(std::string_view id, int shard, std::string_view list, std::string_view text);
@@ -31,7 +31,7 @@
 // Splits the bytes that are received on a connection into frames.
 class FrameReader {
  public:
-  enum class State { more, frame, bad };
+  enum class State { more, frame, bad };  // no complete frame yet, a frame was read, malformed
   // `letters`: the kinds of frames that the other side may send.
   explicit FrameReader(std::string_view letters = "OZIU") : letters_(letters) {}
   void append(std::string_view bytes) { buffer_.append(bytes); }
--- a/src/leaf/frame/links.cpp
+++ b/src/leaf/frame/links.cpp
@@ -19,13 +19,13 @@
 
 }  // namespace
 
-LinkLimits linkLimits(const HostSettings& host, const Settings& settings, int linksMost) {
+LinkLimits linkLimits(const HostSettings& host, const Settings& settings, int maxConnections) {
   LinkLimits out;
   out.connectTimeout = host.connectTimeout;
   out.connIdle = settings.connIdle.value_or(0);
   out.streams = host.streams;
   out.maxPartsPerCall = settings.bundleMax;
-  out.linksMost = linksMost;
+  out.linksMost = maxConnections;
   return out;
 }
 
@@ -47,7 +47,7 @@
     // received. The list lags behind, so the connection may also be newer than that start; then it is kept.
     if (c->state == ConnectionState::up && entry.sinceMs > c->upAtMs)
       closeConnection(*c, "the server has restarted", true);
-    else if (c->streams == 0 && (addressChanged || entry.state == ServerState::gone))
+    else if (c->liveParts == 0 && (addressChanged || entry.state == ServerState::gone))
       closeConnection(*c, "the server has another address or was removed", true);
   }
   forgetRemovedServer(entry.name);
@@ -94,7 +94,7 @@
       c->parts[call.id] = PartState{call.attempt, SendState::waiting, false, now_};
       c->queuedBytes += call.text->size() + kPartHeaderBytes;
     }
-    c->streams += int(bundle.size());
+    c->liveParts += int(bundle.size());
     frame.calls = std::move(bundle);
     c->queue.push_back(std::move(frame));
     if (c->queuedBytes > limits_.maxQueuedBytes) {
@@ -116,8 +116,8 @@
   for (const Handle h : server.connections) {
     Connection* c = connections_.get(h);
     if (!c || c->address != server.entry.address) continue;
-    if (c->streams + int(calls.size()) > limits_.streams) continue;
-    if (c->reader.partial() && c->streams == 0) continue;  // unexpected bytes
+    if (c->liveParts + int(calls.size()) > limits_.streams) continue;
+    if (c->reader.partial() && c->liveParts == 0) continue;  // received bytes though none were expected
     if (!PLANTED(sharedId) &&
         std::ranges::any_of(calls, [&](const Call& call) { return c->parts.contains(call.id); }))
       continue;
@@ -128,9 +128,9 @@
     }
     if (!spread) return c;
     ++usableCount;
-    if (!leastLoaded || c->streams < leastLoaded->streams) leastLoaded = c;
+    if (!leastLoaded || c->liveParts < leastLoaded->liveParts) leastLoaded = c;
   }
-  if (leastLoaded && (leastLoaded->streams == 0 || usableCount >= limits_.maxSpreadConnections ||
+  if (leastLoaded && (leastLoaded->liveParts == 0 || usableCount >= limits_.maxSpreadConnections ||
                       int(connections_.size()) * 4 >= limits_.linksMost * 3))
     return leastLoaded;
   // A connection can be dead without notice while its server is well, so one more is opened. If that one is
@@ -146,7 +146,7 @@
 }
 
 bool Links::isSilent(const Connection& c) const {
-  if (c.outstandingSince == 0 || (c.streams == 0 && c.sendsSinceReceived <= kUnansweredTolerated))
+  if (c.outstandingSince == 0 || (c.liveParts == 0 && c.sendsSinceReceived <= kUnansweredTolerated))
     return false;
   const double threshold = meanAnswerTime_ + kSilentDeviations * answerTimeDeviation_;
   return now_ - c.outstandingSince > std::clamp(Micros(threshold), limits_.silentLeast, limits_.silentMost);
@@ -167,7 +167,7 @@
     if (frame->calls.empty()) c.queue.erase(frame);
     break;
   }
-  if (!part->second.abandoned) --c.streams;
+  if (!part->second.abandoned) --c.liveParts;
   c.parts.erase(part);
   return true;
 }
@@ -205,7 +205,7 @@
   const auto part = c->parts.find(location.id);
   if (part == c->parts.end() || part->second.attempt != attempt || removeWaiting(*c, location.id)) return;
   if (!PLANTED(stallMeetsTimeout)) part->second.abandoned = true;
-  --c->streams;
+  --c->liveParts;
   QueuedFrame frame;
   frame.bytes = writeFrame('K', location.id);
   c->queuedBytes += frame.bytes.size();
@@ -244,13 +244,13 @@
 
 // ---- Connections -----------------------------------------------------------------------------------------
 
-// Called at the limit of connections: an idle one is closed so that its descriptor does not make a part fail.
-// Returns false if no connection is idle.
+// Called at the limit of connections: closes an idle one, since a part would otherwise fail for want of a
+// descriptor. Returns false if no connection is idle.
 bool Links::closeOldestIdle() {
   Connection* oldest = nullptr;
   for (const Handle h : connections_.all()) {
     Connection* c = connections_.get(h);
-    if (c->state == ConnectionState::up && c->streams == 0 && (!oldest || c->openOrder < oldest->openOrder))
+    if (c->state == ConnectionState::up && c->liveParts == 0 && (!oldest || c->openOrder < oldest->openOrder))
       oldest = c;
   }
   if (oldest) closeConnection(*oldest, "idle, closed for another connection", true);
@@ -288,12 +288,12 @@
   if (c->queue.empty()) return {};
   QueuedFrame& frame = c->queue.front();
   if (!frame.calls.empty() && frame.written == 0) {
-    std::string rest;
+    std::string content;
     for (const Call& call : frame.calls) {
       const Micros left = std::max<Micros>(1, (call.until - now_) / 1000);
-      rest += writePart(call.id, call.shard, "d=" + std::to_string(left) + call.list, *call.text);
+      content += writePart(call.id, call.shard, "d=" + std::to_string(left) + call.list, *call.text);
     }
-    frame.bytes = writeFrame('D', rest);
+    frame.bytes = writeFrame('D', content);
   }
   return std::string_view(frame.bytes).substr(frame.written);
 }
@@ -362,7 +362,7 @@
     c->timeout.reset();
     if (timer->kind == Timer::Kind::connectTimeout)
       closeConnection(*c, "connect timed out", false);
-    else if (c->streams == 0)
+    else if (c->liveParts == 0)
       closeConnection(*c, "idle", true);
   }
 }
@@ -372,7 +372,7 @@
   if (!c) return;
   restartIdleTimeout(*c);
   c->sendsSinceReceived = 0;
-  c->outstandingSince = c->streams > 0 ? now_ : 0;
+  c->outstandingSince = c->liveParts > 0 ? now_ : 0;
   c->reader.append(bytes);
   Frame frame;
   while ((c = connections_.get(connection))) {
@@ -414,7 +414,7 @@
   const Micros sentAt = at->second.sentAt;
   c.parts.erase(at);
   addPastId(c, answer.id);
-  if (--c.streams == 0) {
+  if (--c.liveParts == 0) {
     c.outstandingSince = 0;
     restartIdleTimeout(c);
   }
@@ -476,7 +476,7 @@
 
 void Links::failed(Handle connection, const char* reason) {
   if (Connection* c = connections_.get(connection))
-    closeConnection(*c, reason, c->state == ConnectionState::up && c->streams == 0);
+    closeConnection(*c, reason, c->state == ConnectionState::up && c->liveParts == 0);
 }
 
 // Every connection ends here, and with it every attempt on it. `expected`: not a fault, so neither logged nor
@@ -486,7 +486,7 @@
   timers_.drop(c.frameTimeout);
   const bool up = c.state == ConnectionState::up;
   effects_.push_back(Close{c.self, up && (!expected || c.outstandingSince != 0)});
-  if (up && !expected && c.streams > 0) {
+  if (up && !expected && c.liveParts > 0) {
     recentBreaks_ = 1 + recentBreaks_ * std::exp(-double(now_ - lastBreakAt_) / kBreakDecayUs);
     lastBreakAt_ = now_;
   }
@@ -510,7 +510,7 @@
   if (at == servers_.end()) return;
   const std::vector<Handle> handles = at->second.connections;
   for (const Handle h : handles)
-    if (Connection* c = connections_.get(h); c && c->streams == 0)
+    if (Connection* c = connections_.get(h); c && c->liveParts == 0)
       closeConnection(*c, "idle, closed on request", true);
 }
 
@@ -550,7 +550,7 @@
       if (!c) continue;
       position[number(h)] = std::uint32_t(position.size());
       to << '+' << c->state << c->blocked << c->address.port << (c->upAtMs < server.entry.sinceMs)
-         << c->streams << std::min(c->sendsSinceReceived, kUnansweredTolerated + 1)
+         << c->liveParts << std::min(c->sendsSinceReceived, kUnansweredTolerated + 1)
          << c->answersWhileOlderSilent;
       to << (c->outstandingSince != 0);
       if (c->outstandingSince != 0) to.time(std::max(c->outstandingSince, now_ - limits_.silentMost - 1));
--- a/src/leaf/frame/links.hpp
+++ b/src/leaf/frame/links.hpp
@@ -60,8 +60,8 @@
   std::size_t pastMost = 512;
 };
 
-// The limits that follow from the settings; `linksMost`: connections in all.
-LinkLimits linkLimits(const HostSettings& host, const Settings& settings, int linksMost);
+// The limits that follow from the settings; `maxConnections`: to all servers together.
+LinkLimits linkLimits(const HostSettings& host, const Settings& settings, int maxConnections);
 
 enum class ConnectionState : std::uint8_t { connecting, up };
 enum class SendState : std::uint8_t { waiting, begun, written };
@@ -135,7 +135,7 @@
     bool blocked = false;
     std::int64_t upAtMs = 0;                 // Unix time, as in the discovery list
     std::map<std::string, PartState> parts;  // by part id
-    int streams = 0;                         // parts on it that are not abandoned
+    int liveParts = 0;                       // parts on it that are not abandoned
     std::uint64_t openOrder = 0;             // counts the connections opened before it
     // Since when answers have been outstanding with no byte received; 0: none are outstanding.
     Micros outstandingSince = 0;
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -12,8 +12,7 @@
 using boost::system::error_code;
 
 constexpr int kPollTimeoutMs = 20'000;  // how long the agent may hold a request until something changes
-// Time for connecting, for an answer that is due at once, and for an answer beyond the poll time-out.
-constexpr Micros kGrace = 2'000'000;
+constexpr Micros kGrace = 2'000'000;    // for connecting, and for an answer beyond its poll time-out
 constexpr Micros kMinRetryDelay = 50'000, kMaxRetryDelay = 1'000'000;
 
 }  // namespace
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -100,8 +100,8 @@
   assert(parse(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n") == 400);
   assert(parse(head + "Transfer-Encoding: chunked\r\n\r\n10000\r\n" + std::string(65536, 'x') +
                "\r\n1\r\n") == 413);
-  assert(parse(head + "X: " + std::string(20'000, 'x')) ==
-         431);  // a line without an end: rejected at the limit
+  // A line without an end is rejected at the limit.
+  assert(parse(head + "X: " + std::string(20'000, 'x')) == 431);
 }
 
 void frames() {
@@ -176,7 +176,7 @@
   assert(deadlines.sweep(30) == 1 && ran == "acb" && deadlines.size() == 0 && !deadlines.next());
 }
 
-void requests() {
+void queryRequests() {
   HostSettings host;
   host.classNames = {"plain", "keyed"};
   host.classKeyed = {false, true};
@@ -235,7 +235,7 @@
     assert(status([&](auto& o) { o.body = body; }) == 400);
 }
 
-void lists() {
+void discoveryLists() {
   using nlohmann::json;
   const json good =
       json::parse(R"({"index":4,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:80",
@@ -446,9 +446,8 @@
   for (const char* id : {"q.0", "q.1"})
     a.write_some(boost::asio::buffer(writeFrame('O', std::string(id) + " 200 1 -\n")));
   rig.runUntil([&] { return rig.ends.size() == 3; });
-  rig.runUntil([&] {
-    return rig.leaves.connections() == 1;
-  });  // the idle one is closed; the other has parts outstanding
+  // The idle connection is closed; the other has parts outstanding.
+  rig.runUntil([&] { return rig.leaves.connections() == 1; });
   assert(rig.counters.of(Count::leafConnectionsLost) == 0);
 }
 
@@ -507,8 +506,8 @@
   const Handle stuck = rig.send("q.1");
   auto a = rig.accept();
   rig.runUntil([&] { return a.available() > 0; });
-  std::this_thread::sleep_for(
-      std::chrono::milliseconds(300));  // longer than the time after which a connection is silent here
+  // Longer than the time after which a connection counts as silent here.
+  std::this_thread::sleep_for(std::chrono::milliseconds(300));
   rig.send("q.2");
   rig.send("q.3");
   assert(rig.leaves.connections() == 2);
@@ -605,8 +604,8 @@
   HostSettings host;
   host.classKeyed = {false, true, false};
   const auto rules = std::make_shared<const Ledger::Rules>(Ledger::Rules{set, host});
-  // How often a part is sent that is sent at time 0 and, after that attempt has ended with `outcome`, `more`
-  // times at `at`.
+  // Returns how many sends the ledger lets out of 1 + `more` that are asked for one part: one at time 0, the
+  // others at `at`, after the first attempt has ended with `outcome`.
   const auto sends = [&](int cls, Outcome outcome, Micros at, int more = 1) {
     Counters counters;
     Ledger ledger(rules, &counters);
@@ -640,8 +639,8 @@
   const Micros late = 5'000'000;
   assert(sends(0, Outcome::reset, late) == 2 && sends(1, Outcome::reset, late - 1) == 2);
   assert(sends(1, Outcome::reset, late) == 1 && sends(1, Outcome::connectFailed, late) == 2);
-  assert(sends(1, Outcome::done, late) == 1 &&
-         sends(1, Outcome::done, late - 1) == 2);  // the first attempt is still outstanding
+  // With `done` the first attempt is still outstanding.
+  assert(sends(1, Outcome::done, late) == 1 && sends(1, Outcome::done, late - 1) == 2);
   assert(sends(2, Outcome::reset, 1) == 1 && sends(2, Outcome::busy, 1) == 2);
   assert(sends(0, Outcome::reset, 1, 5) == 3 && sends(1, Outcome::connectFailed, 1, 5) == 3);
 }
@@ -788,8 +787,8 @@
   frames();
   slots();
   deadlines();
-  requests();
-  lists();
+  queryRequests();
+  discoveryLists();
   lateAnswerOfAnOlderAttempt();
   breaksSpreadParts();
   waitingSends();
