--- a/src/standin/frame_leaf.cpp
+++ b/src/standin/frame_leaf.cpp
@@ -21,8 +21,8 @@
   bool writing = false, closed = false;
 };
 
-FrameLeaf::FrameLeaf(net::Loop& loop, Script how)
-    : script(std::move(how)),
+FrameLeaf::FrameLeaf(net::Loop& loop, Script behaviour)
+    : script(std::move(behaviour)),
       loop_(loop),
       acceptor_(loop.strand, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)) {
   port_ = acceptor_.local_endpoint().port();
@@ -67,64 +67,65 @@
       const net::FrameReader::State state = c->reader.next(frame);
       if (state == net::FrameReader::State::more) return read(c);
       if (state == net::FrameReader::State::bad) return close(c, false);
-      if (frame.letter == 'D') call(c, frame.rest);
+      if (frame.letter == 'D') handleCall(c, frame.rest);
       if (frame.letter == 'I' || frame.letter == 'U') write(c, net::writeFrame(frame.letter, "200"));
       if (frame.letter == 'K') {
         ++cancelled;
-        for (Part& p : seen_)
+        for (Part& p : parts_)
           if (p.id == frame.rest && p.cancelled == 0 && !p.answered) p.cancelled = loop_.now();
       }
     }
   });
 }
 
-// Lines `ID SHARD LIST LENGTH`, each with so many bytes behind it.
-void FrameLeaf::call(const std::shared_ptr<Connection>& c, const std::string& rest) {
-  for (std::size_t at = 0; at < rest.size() && !c->closed;) {
-    const std::size_t end = rest.find('\n', at);
+// A call is a sequence of parts: a line `ID SHARD LIST LENGTH`, followed by LENGTH bytes of text.
+void FrameLeaf::handleCall(const std::shared_ptr<Connection>& c, const std::string& content) {
+  for (std::size_t at = 0; at < content.size() && !c->closed;) {
+    const std::size_t end = content.find('\n', at);
     if (end == std::string::npos) return close(c, false);
-    std::array<std::string, 4> words;
+    std::array<std::string, 4> fields;
     std::size_t from = at;
-    for (std::string& word : words) {
-      const std::size_t space = std::min(rest.find(' ', from), end);
-      word = rest.substr(from, space - from);
+    for (std::string& field : fields) {
+      const std::size_t space = std::min(content.find(' ', from), end);
+      field = content.substr(from, space - from);
       from = std::min(space + 1, end);
     }
     std::size_t length = 0;
     Part p;
-    std::from_chars(words[1].data(), words[1].data() + words[1].size(), p.shard);
-    std::from_chars(words[3].data(), words[3].data() + words[3].size(), length);
-    p.id = words[0];
-    p.list = words[2];
+    std::from_chars(fields[1].data(), fields[1].data() + fields[1].size(), p.shard);
+    std::from_chars(fields[3].data(), fields[3].data() + fields[3].size(), length);
+    p.id = fields[0];
+    p.list = fields[2];
     p.fetch = p.id.ends_with(".fetch");
     if (const std::size_t named = p.list.find("from="); named != std::string::npos)
       p.from = p.list.substr(named + 5, p.list.find(',', named) - named - 5);
-    p.text = rest.substr(end + 1, length);
+    p.text = content.substr(end + 1, length);
     p.at = loop_.now();
     at = end + 1 + length;
-    part(c, std::move(p));
+    handlePart(c, std::move(p));
   }
 }
 
-void FrameLeaf::part(const std::shared_ptr<Connection>& c, Part p) {
+void FrameLeaf::handlePart(const std::shared_ptr<Connection>& c, Part p) {
   ++asked;
-  const Reply reply = script(p);
+  const Reply answer = script(p);
   const std::string id = p.id;
-  std::size_t seen = SIZE_MAX;
+  std::size_t index = SIZE_MAX;
   if (keepSeen) {
-    seen = seen_.size();
-    seen_.push_back(std::move(p));
+    index = parts_.size();
+    parts_.push_back(std::move(p));
   }
-  if (reply.how == Reply::How::nothing) return;
-  if (reply.after <= 0) return act(c, id, seen, reply);
-  loop_.deadlines.add(loop_.now() + reply.after, [this, c, id, seen, reply] { act(c, id, seen, reply); });
+  if (answer.how == Reply::How::nothing) return;
+  if (answer.after <= 0) return reply(c, id, index, answer);
+  loop_.deadlines.add(loop_.now() + answer.after,
+                      [this, c, id, index, answer] { reply(c, id, index, answer); });
 }
 
-void FrameLeaf::act(const std::shared_ptr<Connection>& c, const std::string& id, std::size_t seen,
-                    const Reply& reply) {
+void FrameLeaf::reply(const std::shared_ptr<Connection>& c, const std::string& id, std::size_t index,
+                      const Reply& reply) {
   if (c->closed) return;
   if (reply.how != Reply::How::answer) return close(c, reply.how == Reply::How::reset);
-  if (seen < seen_.size()) seen_[seen].answered = true;
+  if (index < parts_.size()) parts_[index].answered = true;
   write(c, net::writeFrame('O', id + " " + std::to_string(reply.end) + " " + reply.score + " " +
                                     reply.report + "\n" + reply.value));
 }
--- a/src/standin/frame_leaf.hpp
+++ b/src/standin/frame_leaf.hpp
@@ -1,5 +1,6 @@
-// A leaf server that speaks frames, on loopback, for tests and loads. What it does with a part is told by a
-// function of the part. It has no queue: every part is answered on its own, as late as the function says.
+// A scripted leaf server that speaks the frame protocol on loopback, for tests and load generation. A
+// function of the part decides what it does with each part. It has no queue: each part is answered
+// independently, after the delay that the function returns.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,22 +16,23 @@
 
 namespace cometdeal::standin {
 
+// Listens on a free port of 127.0.0.1.
 class FrameLeaf {
  public:
-  struct Part {  // as it came
+  struct Part {  // as received
     std::string id, list, text;
     int shard = 0;
     bool fetch = false;    // of a second step
-    std::string from;      // of a second step: the shards that were in
-    Micros at = 0;         // on the loop's clock
-    Micros cancelled = 0;  // when it was given up; 0: not
+    std::string from;      // of a second step: the shards that the first step has answers of
+    Micros at = 0;         // when it was received, on the loop's clock
+    Micros cancelled = 0;  // when its cancellation was received; 0: not cancelled
     bool answered = false;
   };
-  struct Reply {
-    enum class How : std::uint8_t { answer, nothing, cut, reset };  // the last two end the connection
+  struct Reply {                                                    // what to do with a part
+    enum class How : std::uint8_t { answer, nothing, cut, reset };  // cut and reset close the connection
     How how = How::answer;
-    Micros after = 0;
-    int end = 200;
+    Micros after = 0;  // delay
+    int end = 200;     // status
     std::string score = "0", report = "-", value = "v";
   };
   using Script = std::function<Reply(const Part&)>;
@@ -39,22 +41,24 @@
   ~FrameLeaf();
   std::uint16_t port() const { return port_; }
   void stopListening();
-  void closeAll(bool reset);  // all connections that are open
+  void closeAll(bool reset);  // closes all open connections; `reset`: with a TCP reset
   std::size_t connections() const { return connections_.size(); }
 
   Script script;
-  bool keepSeen = true;  // false: for loads, only counted
-  std::uint64_t asked = 0, cancelled = 0;
-  const std::deque<Part>& seen() const { return seen_; }
+  bool keepSeen = true;                    // false, for load generation: parts are only counted
+  std::uint64_t asked = 0, cancelled = 0;  // parts and cancellations received
+  const std::deque<Part>& seen() const { return parts_; }
 
  private:
   struct Connection;
 
   void accept();
   void read(const std::shared_ptr<Connection>& c);
-  void call(const std::shared_ptr<Connection>& c, const std::string& rest);
-  void part(const std::shared_ptr<Connection>& c, Part part);
-  void act(const std::shared_ptr<Connection>& c, const std::string& id, std::size_t seen, const Reply& reply);
+  void handleCall(const std::shared_ptr<Connection>& c, const std::string& content);
+  void handlePart(const std::shared_ptr<Connection>& c, Part part);
+  // `index`: of the part in parts_.
+  void reply(const std::shared_ptr<Connection>& c, const std::string& id, std::size_t index,
+             const Reply& reply);
   void write(const std::shared_ptr<Connection>& c, const std::string& bytes);
   void close(const std::shared_ptr<Connection>& c, bool reset);
 
@@ -62,7 +66,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   std::uint16_t port_ = 0;
   std::set<std::shared_ptr<Connection>> connections_;
-  std::deque<Part> seen_;
+  std::deque<Part> parts_;
 };
 
 }  // namespace cometdeal::standin
--- a/src/standin/grpc_client.cpp
+++ b/src/standin/grpc_client.cpp
@@ -18,9 +18,9 @@
   tcp::socket socket(loop.strand);
   socket.connect(tcp::endpoint(boost::asio::ip::address_v4::loopback(), port));
   peer_ = std::make_shared<Peer>(loop, std::move(socket), Session::Role::client, limits);
-  peer_->onEvent = [this](Session::Event& e) { event(e); };
+  peer_->onEvent = [this](Session::Event& e) { handleEvent(e); };
   peer_->onClosed = [this] {
-    while (!calls_.empty()) over(calls_.begin()->first);
+    while (!calls_.empty()) endCall(calls_.begin()->first);
   };
   peer_->start();
 }
@@ -70,7 +70,7 @@
   peer_->flush();
 }
 
-void GrpcClient::over(std::int32_t id) {
+void GrpcClient::endCall(std::int32_t id) {
   const auto at = calls_.find(id);
   if (at == calls_.end()) return;
   const Held result = at->second;
@@ -82,7 +82,7 @@
   if (onOver) onOver(result);
 }
 
-void GrpcClient::event(Session::Event& event) {
+void GrpcClient::handleEvent(Session::Event& event) {
   if (auto* first = std::get_if<Session::Headers>(&event)) {
     const auto at = calls_.find(first->stream);
     if (at == calls_.end()) return;
@@ -110,8 +110,8 @@
       if (partial.size() < size + 5) break;
       if (keepMessages) at->second->messages.push_back(partial.substr(5, size));
       partial.erase(0, size + 5);
-      const Held held = at->second;
-      if (onMessage) onMessage(held);
+      const Held result = at->second;
+      if (onMessage) onMessage(result);
     }
   } else if (const auto* end = std::get_if<Session::End>(&event)) {
     const auto at = calls_.find(end->stream);
@@ -120,12 +120,12 @@
     if (const std::string* status = http2::find(r.trailers, "grpc-status"))
       r.status = std::atoi(status->c_str());
     if (const std::string* text = http2::find(r.trailers, "grpc-message")) r.text = *text;
-    over(end->stream);
+    endCall(end->stream);
   } else if (const auto* closed = std::get_if<Session::Closed>(&event)) {
     const auto at = calls_.find(closed->stream);
     if (at == calls_.end()) return;
     at->second->reset = closed->code;
-    over(closed->stream);
+    endCall(closed->stream);
   } else if (const auto* away = std::get_if<Session::Goaway>(&event)) {
     ++goaways;
     goawayLast = away->last;
--- a/src/standin/grpc_client.hpp
+++ b/src/standin/grpc_client.hpp
@@ -1,4 +1,5 @@
-// A gRPC client's connection for tests and loads: calls with metadata and messages, and what became of each.
+// One connection of a gRPC client, for tests and load generation: makes calls with metadata and messages, and
+// records the result of each.
 #pragma once
 
 #include <functional>
@@ -15,19 +16,20 @@
 
 class GrpcClient {
  public:
-  struct Result {
+  struct Result {  // of one call, as far as it is known
     bool over = false;
-    int outcomes = 0;  // final ones: trailers, a reset or the end of the connection
+    int outcomes = 0;  // final outcomes received: trailers, a reset or the end of the connection
     int http = 0;
-    int status = -1;  // -1: none came
-    std::string text;
+    int status = -1;   // grpc-status; -1: none received
+    std::string text;  // grpc-message
     http2::Fields head, trailers;
     std::vector<std::string> messages;
     std::uint64_t bytes = 0;
     std::optional<http2::Code> reset;
+    // On the loop's clock, in microseconds: the call began, its headers arrived, it ended.
     std::int64_t beganAt = 0, firstAt = 0, overAt = 0;
     std::int32_t stream = 0;
-    const std::string& trailer(const char* name) const;  // empty: none
+    const std::string& trailer(const char* name) const;  // empty: not received
   };
   using Held = std::shared_ptr<Result>;
 
@@ -36,16 +38,16 @@
   Peer& peer() { return *peer_; }
   bool closed() const { return peer_->closed(); }
 
-  // Begins a call; nothing if the connection takes none. `body` is said as it is (heads of messages
-  // included); `end`: the client has said all.
+  // Begins a call; nullptr if the connection accepts no new call. `body` is sent unchanged, so it has to
+  // include the prefixes of its messages. `end`: the request ends with it.
   Held call(const std::string& path, http2::Fields metadata, std::string_view body, bool end = true);
   void say(const Held& result, std::string_view body);
   void end(const Held& result);
   void cancel(const Held& result);
-  void hold() { holding_ = true; }  // reads, but frees no window
-  void release();                   // all that was held
+  void hold() { holding_ = true; }  // from now on data is read, but its flow control window is not freed
+  void release();                   // frees it, and no longer withholds it
 
-  std::function<void(const Held& result)> onOver;
+  std::function<void(const Held& result)> onOver;  // the call has ended
   std::function<void(const Held& result)> onMessage;
   bool keepMessages = true;
   int goaways = 0;
@@ -54,14 +56,14 @@
   std::size_t open() const { return calls_.size(); }
 
  private:
-  void event(http2::Session::Event& event);
-  void over(std::int32_t id);
+  void handleEvent(http2::Session::Event& event);
+  void endCall(std::int32_t id);
 
   net::Loop& loop_;
   std::shared_ptr<Peer> peer_;
   std::map<std::int32_t, Held> calls_;
-  std::map<std::int32_t, std::string> partial_;
-  std::map<std::int32_t, std::size_t> held_;
+  std::map<std::int32_t, std::string> partial_;  // bytes of an incomplete message, by stream
+  std::map<std::int32_t, std::size_t> held_;     // bytes whose window is not freed, by stream
   bool holding_ = false;
 };
 
--- a/src/standin/grpc_leaf.cpp
+++ b/src/standin/grpc_leaf.cpp
@@ -47,7 +47,7 @@
     c->peer = std::make_shared<Peer>(loop_, std::move(socket), Session::Role::server, limits_);
     std::weak_ptr<Connection> weak = c;
     c->peer->onEvent = [this, weak](Session::Event& e) {
-      if (const auto held = weak.lock()) event(held, e);
+      if (const auto held = weak.lock()) handleEvent(held, e);
     };
     c->peer->onClosed = [this, weak] {
       if (const auto held = weak.lock()) connections_.erase(held);
@@ -71,8 +71,8 @@
 }
 
 int GrpcLeaf::ran(const std::string& call) const {
-  const auto at = ran_.find(call);
-  return at == ran_.end() ? 0 : at->second;
+  const auto at = timesRun_.find(call);
+  return at == timesRun_.end() ? 0 : at->second;
 }
 std::size_t GrpcLeaf::connections() const { return connections_.size(); }
 std::size_t GrpcLeaf::streams() const {
@@ -81,32 +81,32 @@
   return out;
 }
 
-void GrpcLeaf::event(const std::shared_ptr<Connection>& c, Session::Event& event) {
+void GrpcLeaf::handleEvent(const std::shared_ptr<Connection>& c, Session::Event& event) {
   if (auto* first = std::get_if<Session::Headers>(&event)) {
     const std::int32_t id = first->stream;
     if (id >= c->away) return;
     ++begun;
     Call call;
-    Seen seen;
+    Seen record;
     const auto field = [&](const char* name) {
       const std::string* found = http2::find(first->fields, name);
       return found ? *found : std::string();
     };
-    seen.call = field("call");
-    seen.path = field(":path");
-    seen.timeout = field("grpc-timeout");
-    seen.attempt = std::atoi(field("grpc-previous-rpc-attempts").c_str());
-    seen.beganAt = loop_.now();
-    if (keepMessages) seen.fields = first->fields;
-    std::string script = field(("script-" + std::to_string(seen.attempt)).c_str());
+    record.call = field("call");
+    record.path = field(":path");
+    record.timeout = field("grpc-timeout");
+    record.attempt = std::atoi(field("grpc-previous-rpc-attempts").c_str());
+    record.beganAt = loop_.now();
+    if (keepMessages) record.fields = first->fields;
+    std::string script = field(("script-" + std::to_string(record.attempt)).c_str());
     if (script.empty()) script = field("script");
     if (script.empty()) script = "read message=3 status=0";
-    std::istringstream words(script);
-    for (std::string word; words >> word;) call.steps.push_back(word);
-    call.id = seen.call;
+    std::istringstream steps(script);
+    for (std::string step; steps >> step;) call.steps.push_back(step);
+    call.id = record.call;
     if (keepSeen) {
-      call.seen = seen_.size();
-      seen_.push_back(std::move(seen));
+      call.recordIndex = recordedCalls_.size();
+      recordedCalls_.push_back(std::move(record));
     }
     c->last = id;
     c->calls[id] = std::move(call);
@@ -125,8 +125,8 @@
       for (int k = 1; k <= 4; ++k)
         size = size << 8 | static_cast<unsigned char>(call.partial[std::size_t(k)]);
       if (call.partial.size() < size + 5) break;
-      if (keepMessages && call.seen < seen_.size())
-        seen_[call.seen].messages.push_back(call.partial.substr(5, size));
+      if (keepMessages && call.recordIndex < recordedCalls_.size())
+        recordedCalls_[call.recordIndex].messages.push_back(call.partial.substr(5, size));
       if (!call.steps.empty() && call.steps.front() == "echo")
         call.toEcho.push_back(call.partial.substr(5, size));
       call.partial.erase(0, size + 5);
@@ -140,9 +140,9 @@
     const auto at = c->calls.find(closed->stream);
     if (at == c->calls.end()) return;
     if (!closed->local && closed->code != Code::none) ++resets;
-    if (at->second.seen < seen_.size()) {
-      Seen& seen = seen_[at->second.seen];
-      (closed->code == Code::none ? seen.endedAt : seen.resetAt) = loop_.now();
+    if (at->second.recordIndex < recordedCalls_.size()) {
+      Seen& record = recordedCalls_[at->second.recordIndex];
+      (closed->code == Code::none ? record.endedAt : record.resetAt) = loop_.now();
     }
     c->calls.erase(at);
     return;
@@ -150,8 +150,8 @@
   if (id != 0) run(c, id);
 }
 
-void GrpcLeaf::headers(Connection& c, std::int32_t id, Call& call) {
-  if (std::exchange(call.headed, true)) return;
+void GrpcLeaf::sendHeaders(Connection& c, std::int32_t id, Call& call) {
+  if (std::exchange(call.headersSent, true)) return;
   c.peer->session.respond(
       id, {{":status", "200"}, {"content-type", "application/grpc"}, {"leaf-port", std::to_string(port_)}},
       false);
@@ -168,8 +168,8 @@
     const std::string verb = step.substr(0, step.find('='));
     const std::string arg = step.find('=') == std::string::npos ? "" : step.substr(step.find('=') + 1);
     if (verb != "refuse" && verb != "goaway" && !std::exchange(call.ran, true)) {
-      ++ran_[call.id];
-      if (call.seen < seen_.size()) seen_[call.seen].ran = true;
+      ++timesRun_[call.id];
+      if (call.recordIndex < recordedCalls_.size()) recordedCalls_[call.recordIndex].ran = true;
     }
     if (verb == "read") {
       if (!call.requestEnded) break;
@@ -188,28 +188,28 @@
       call.steps.pop_front();
       break;
     } else if (verb == "headers") {
-      headers(*c, id, call);
+      sendHeaders(*c, id, call);
     } else if (verb == "message") {
-      headers(*c, id, call);
-      if (session.buffered(id) > 64UL * 1024) break;  // goes on at Room
+      sendHeaders(*c, id, call);
+      if (session.buffered(id) > 64UL * 1024) break;  // continues at the event Room
       session.write(id, message(std::string(std::stoul(arg), 'm')));
     } else if (verb == "echo") {
-      headers(*c, id, call);
+      sendHeaders(*c, id, call);
       while (!call.toEcho.empty()) {
         session.write(id, message(call.toEcho.front()));
         call.toEcho.pop_front();
       }
       if (!call.requestEnded) break;
     } else if (verb == "flag") {
-      headers(*c, id, call);
+      sendHeaders(*c, id, call);
       session.write(id, std::string("\7\0\0\0\1x", 6));
     } else if (verb == "huge") {
-      headers(*c, id, call);
+      sendHeaders(*c, id, call);
       session.write(id, std::string("\0\x40\0\0\0x", 6));
     } else if (verb == "status") {
       const Fields trailers{{"grpc-status", arg}, {"grpc-message", "scripted"}, {"leaf-trailer", "t"}};
       call.over = true;
-      if (call.headed) {
+      if (call.headersSent) {
         session.finish(id, trailers);
       } else {
         Fields fields{{":status", "200"}, {"content-type", "application/grpc"}};
@@ -218,7 +218,7 @@
       }
       session.closeWhenSaid(id);
     } else if (verb == "nostatus") {
-      headers(*c, id, call);
+      sendHeaders(*c, id, call);
       call.over = true;
       session.finish(id, {{"leaf-trailer", "t"}});
     } else if (verb == "http") {
@@ -233,7 +233,7 @@
       session.reset(id, Code::refusedStream);
     } else if (verb == "goaway") {
       call.over = true;
-      // A server that has begun a later call must not say that it looked at nothing from here on.
+      // A server that has begun a later call must not declare the calls from this one on as not processed.
       if (id < c->last) {
         session.reset(id, Code::refusedStream);
       } else {
--- a/src/standin/grpc_leaf.hpp
+++ b/src/standin/grpc_leaf.hpp
@@ -1,18 +1,23 @@
-// A scripted gRPC leaf server on loopback. What it does with a call stands in the call's own metadata, entry
-// `script`: steps separated by blanks, done in order. With several attempts of one call in sight, `script-N`
-// is for attempt N (from 0, by grpc-previous-rpc-attempts) and goes before `script`.
+// A scripted gRPC leaf server on loopback, for tests. The entry `script` of a call's metadata says what the
+// server does with the call: steps separated by blanks, performed in order. An entry `script-N` applies to
+// attempt N (from 0, taken from grpc-previous-rpc-attempts) and takes precedence over `script`.
 //
-//   wait=MS          does nothing for so long          read           until the request has ended
-//   headers          sends the first fields            message=BYTES  one message of so many bytes
-//   echo             sends back each message that comes, until the request ends
-//   status=N         ends with status N in trailers; without anything before it, Trailers-Only
-//   http=CODE        answers with an HTTP status instead          stall    nothing more, for ever
-//   reset=CODE       resets the stream with an HTTP/2 error code  refuse   reset with REFUSED_STREAM, unseen
-//   goaway           GOAWAY below this call, then the rest of the connection may finish
-//   cut              closes the connection; `cut-reset` with a TCP reset
-//   flag             a message whose first byte is 7              huge     a message's head that claims 1 GiB
-//   nostatus         trailers without a status     deaf           takes no more of the request: its window
-//   closes
+//   wait=MS          waits for so many milliseconds
+//   read             waits until the request has ended
+//   headers          sends the headers
+//   message=BYTES    sends one message of so many bytes
+//   echo             sends back each message received, until the request ends
+//   status=N         ends the call with status N in trailers; as Trailers-Only if nothing was sent before
+//   http=CODE        answers with an HTTP status instead
+//   stall            does nothing more
+//   reset=CODE       resets the stream with an HTTP/2 error code
+//   refuse           resets the stream with REFUSED_STREAM, as not processed
+//   goaway           sends GOAWAY with a last stream below this call; calls before it may finish
+//   cut              closes the connection; `cut-reset`: with a TCP reset
+//   flag             sends a message whose first byte is 7
+//   huge             sends a message prefix with a length of 1 GiB
+//   nostatus         ends the call with trailers that contain no status
+//   deaf             no longer frees the request's flow control window, so that it closes
 // The default is "read message=3 status=0".
 #pragma once
 
@@ -27,13 +32,14 @@
 
 namespace cometdeal::standin {
 
+// Listens on `port` of 127.0.0.1; 0: on a free one.
 class GrpcLeaf {
  public:
-  struct Seen {  // of one attempt
+  struct Seen {  // what was received of one attempt
     std::string call, path, key;
     int attempt = 0;
-    std::int64_t beganAt = 0, resetAt = 0, endedAt = 0;  // 0: not
-    bool ran = false;                                    // began to act on it
+    std::int64_t beganAt = 0, resetAt = 0, endedAt = 0;  // 0: not yet
+    bool ran = false;                                    // a step other than refuse or goaway was begun
     std::string timeout;
     std::vector<std::string> messages;
     http2::Fields fields;
@@ -43,47 +49,48 @@
   ~GrpcLeaf();
   std::uint16_t port() const { return port_; }
   void stopListening();
-  void closeAll(bool reset);
-  void ping(int number);  // on each connection
+  void closeAll(bool reset);  // closes all open connections; `reset`: with a TCP reset
+  void ping(int number);      // sends so many PINGs on each connection
 
-  const std::deque<Seen>& seen() const { return seen_; }
-  int ran(const std::string& call) const;  // how often it was begun
+  const std::deque<Seen>& seen() const { return recordedCalls_; }
+  int ran(const std::string& call) const;  // how many attempts of the call were run
   std::size_t connections() const;
   std::size_t streams() const;
   bool keepMessages = true, keepSeen = true;
-  std::uint64_t begun = 0, resets = 0;
+  std::uint64_t begun = 0, resets = 0;  // calls and resets received
 
  private:
   struct Call {
-    std::size_t seen = SIZE_MAX;  // its place in seen_, where that is kept
+    std::size_t recordIndex = SIZE_MAX;  // its index in recordedCalls_, if it is recorded
     std::string id;
     bool ran = false;
     std::deque<std::string> steps;
-    bool requestEnded = false, headed = false, over = false, waiting = false, deaf = false;
-    std::string partial;  // of the messages that come
+    bool requestEnded = false, headersSent = false, over = false, waiting = false, deaf = false;
+    std::string partial;  // bytes of an incomplete message
     std::deque<std::string> toEcho;
   };
   struct Connection {
     std::shared_ptr<Peer> peer;
     std::map<std::int32_t, Call> calls;
-    std::int32_t last = 0;          // the latest call that was begun
-    std::int32_t away = INT32_MAX;  // from this one on none is looked at
+    std::int32_t last = 0;          // stream of the latest call received
+    std::int32_t away = INT32_MAX;  // calls from this stream on are ignored
   };
 
   void accept();
-  void event(const std::shared_ptr<Connection>& c, http2::Session::Event& event);
-  void run(const std::shared_ptr<Connection>& c, std::int32_t id);
-  void headers(Connection& c, std::int32_t id, Call& call);
+  void handleEvent(const std::shared_ptr<Connection>& c, http2::Session::Event& event);
+  void run(const std::shared_ptr<Connection>& c, std::int32_t id);  // the script, as far as it can go
+  void sendHeaders(Connection& c, std::int32_t id, Call& call);     // unless they are sent
 
   net::Loop& loop_;
   http2::Limits limits_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::uint16_t port_ = 0;
   std::set<std::shared_ptr<Connection>> connections_;
-  std::deque<Seen> seen_;
-  std::map<std::string, int> ran_;
+  std::deque<Seen> recordedCalls_;
+  std::map<std::string, int> timesRun_;
 };
 
-std::string message(std::string_view body, bool compressed = false);  // with its head
+// A gRPC message with its prefix: the compressed flag and the length.
+std::string message(std::string_view body, bool compressed = false);
 
 }  // namespace cometdeal::standin
--- a/src/standin/http_client.cpp
+++ b/src/standin/http_client.cpp
@@ -9,10 +9,11 @@
 using tcp = boost::asio::ip::tcp;
 
 std::string HttpQuery::request() const {
-  nlohmann::json said = body.empty() ? nlohmann::json::object() : nlohmann::json::parse(body);
-  for (const int shard : shards) said["parts"].push_back({{"id", shard}, {"w", 1.0 / double(shards.size())}});
-  said["expr"] = text;
-  const std::string content = said.dump();
+  nlohmann::json fields = body.empty() ? nlohmann::json::object() : nlohmann::json::parse(body);
+  for (const int shard : shards)
+    fields["parts"].push_back({{"id", shard}, {"w", 1.0 / double(shards.size())}});
+  fields["expr"] = text;
+  const std::string content = fields.dump();
   std::string out = "POST /api" + (key.empty() ? "" : "/" + key) + " HTTP/1.1\r\nHost: standin\r\n";
   out += "X-Request-ID: " + id + "\r\nX-Priority-Class: " + cls + "\r\nX-Timeout: " + std::to_string(seconds);
   if (!idempotencyKey.empty()) out += "\r\nIdempotency-Key: " + idempotencyKey;
@@ -36,49 +37,49 @@
 }
 
 bool HttpClient::ended() const {
-  char one = 0;
-  return state_->closed || ::recv(state_->socket.native_handle(), &one, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
+  char next = 0;
+  return state_->closed || ::recv(state_->socket.native_handle(), &next, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
 void HttpClient::ask(std::string request, Told told) {
   if (state_->closed) return told({});
   state_->waiting.emplace_back(std::move(request), std::move(told));
-  if (state_->waiting.size() == 1) send(state_);
+  if (state_->waiting.size() == 1) sendNext(state_);
 }
 
-void HttpClient::send(const std::shared_ptr<State>& s) {
+void HttpClient::sendNext(const std::shared_ptr<State>& s) {
   const auto text = std::make_shared<const std::string>(s->waiting.front().first);
   boost::asio::async_write(s->socket, boost::asio::buffer(*text), [s, text](error_code ec, std::size_t) {
     if (s->closed) return;
-    if (ec) return end(s);
-    read(s);
+    if (ec) return endConnection(s);
+    readReply(s);
   });
 }
 
-void HttpClient::read(const std::shared_ptr<State>& s) {
+void HttpClient::readReply(const std::shared_ptr<State>& s) {
   s->socket.async_read_some(boost::asio::buffer(s->incoming), [s](error_code ec, std::size_t n) {
     if (s->closed) return;
-    if (ec) return end(s);
+    if (ec) return endConnection(s);
     std::string_view in(s->incoming.data(), n);
     const net::HttpParser::State state = s->parser.feed(in);
-    if (state == net::HttpParser::State::bad) return end(s);
-    if (state == net::HttpParser::State::more) return read(s);
+    if (state == net::HttpParser::State::bad) return endConnection(s);
+    if (state == net::HttpParser::State::more) return readReply(s);
     const net::HttpMessage reply = s->parser.take();
     const Told told = std::move(s->waiting.front().second);
     s->waiting.pop_front();
     told(reply);
     if (s->closed) return;
-    if (!reply.keepAlive) return end(s);
-    if (!s->waiting.empty()) send(s);
+    if (!reply.keepAlive) return endConnection(s);
+    if (!s->waiting.empty()) sendNext(s);
   });
 }
 
-void HttpClient::end(const std::shared_ptr<State>& s) {
+void HttpClient::endConnection(const std::shared_ptr<State>& s) {
   if (std::exchange(s->closed, true)) return;
   error_code ignored;
   s->socket.close(ignored);
   const auto waiting = std::exchange(s->waiting, {});
-  for (const auto& one : waiting) one.second({});
+  for (const auto& request : waiting) request.second({});
 }
 
 }  // namespace cometdeal::standin
--- a/src/standin/http_client.hpp
+++ b/src/standin/http_client.hpp
@@ -1,5 +1,5 @@
-// A client of the HTTP front on loopback, for tests and loads: one connection that is kept, one request at a
-// time.
+// A client of the HTTP front on loopback, for tests and load generation: one persistent connection, one
+// request at a time.
 #pragma once
 
 #include <array>
@@ -15,7 +15,8 @@
 
 namespace cometdeal::standin {
 
-// A query's request. Each shard has the same weight; `body` (a JSON object) adds to what is said.
+// The HTTP request of a query. Every shard has the same weight. The fields of `body` (a JSON object) are
+// included in the request's body. `seconds`: the time-out.
 struct HttpQuery {
   std::string id, cls = "safe", key, idempotencyKey, text = "t", body;
   double seconds = 5;
@@ -25,15 +26,16 @@
 
 class HttpClient {
  public:
-  using Told = std::function<void(const net::HttpMessage& reply)>;  // status 0: the connection ended first
+  // A reply with status 0: the connection ended before the reply.
+  using Told = std::function<void(const net::HttpMessage& reply)>;
 
   HttpClient(net::Loop& loop, std::uint16_t port);
   ~HttpClient();
-  // Asked after those before it have their replies.
+  // Sends the request once the requests before it have their replies.
   void ask(std::string request, Told told);
   void close();
   bool closed() const { return state_->closed; }
-  bool ended() const;  // closed, or the other side has ended it between requests
+  bool ended() const;  // closed, or the other side has closed it between requests
 
  private:
   struct State {
@@ -41,12 +43,12 @@
     boost::asio::ip::tcp::socket socket;
     net::HttpParser parser{net::HttpParser::Kind::response, 4UL << 20};
     std::array<char, 16384> incoming;
-    std::deque<std::pair<std::string, Told>> waiting;  // the first one is out
+    std::deque<std::pair<std::string, Told>> waiting;  // the first one is being sent or has been sent
     bool closed = false;
   };
-  static void send(const std::shared_ptr<State>& s);
-  static void read(const std::shared_ptr<State>& s);
-  static void end(const std::shared_ptr<State>& s);
+  static void sendNext(const std::shared_ptr<State>& s);
+  static void readReply(const std::shared_ptr<State>& s);
+  static void endConnection(const std::shared_ptr<State>& s);
 
   std::shared_ptr<State> state_;
 };
--- a/src/standin/peer.cpp
+++ b/src/standin/peer.cpp
@@ -28,7 +28,7 @@
         if (self->closed_) return;
         if (ec) return self->close();
         const bool good = self->session.received({self->incoming_.data(), n}, self->loop_.now());
-        self->events();
+        self->handleEvents();
         self->flush();
         if (!good) return self->close();
         self->read();
@@ -40,7 +40,7 @@
   read();
 }
 
-void Peer::events() {
+void Peer::handleEvents() {
   while (!closed_ && session.hasEvents())
     for (http2::Session::Event& event : session.take())
       if (onEvent) onEvent(event);
@@ -53,7 +53,7 @@
   while (!closed_) {
     const std::string_view bytes = session.front();
     if (session.hasEvents()) {
-      events();
+      handleEvents();
       if (bytes.empty()) continue;
     }
     if (bytes.empty() || closed_) break;
--- a/src/standin/peer.hpp
+++ b/src/standin/peer.hpp
@@ -1,5 +1,5 @@
-// One end of an HTTP/2 connection on a loopback socket, for stand-ins: bytes between the socket and a
-// session.
+// One end of an HTTP/2 connection on a loopback socket, for the stand-ins: moves bytes between the socket and
+// an HTTP/2 session.
 #pragma once
 
 #include <array>
@@ -20,11 +20,11 @@
   Peer(net::Loop& loop, tcp::socket socket, http2::Session::Role role, http2::Limits limits = {})
       : loop_(loop), socket_(std::move(socket)), session(role, limits) {}
 
-  void start();                     // after the socket is connected
-  void flush();                     // after anything was done to the session
-  void pause() { paused_ = true; }  // reads no more: its kernel's buffer fills
+  void start();                     // to be called once the socket is connected
+  void flush();                     // to be called after every change to the session
+  void pause() { paused_ = true; }  // stops reading, so that the kernel's receive buffer fills
   void resume();
-  void raw(const std::string& bytes);  // past the session
+  void raw(const std::string& bytes);  // writes to the socket directly, without the session
   void close(bool reset = false);
   bool closed() const { return closed_; }
   std::uint16_t localPort() const;
@@ -34,7 +34,7 @@
 
  private:
   void read();
-  void events();
+  void handleEvents();
 
   net::Loop& loop_;
   tcp::socket socket_;
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -1,4 +1,4 @@
-// Feeds events to one Aggregator and keeps its actions, for tests without a bench.
+// A rig that feeds events to one Aggregator and records its actions, for tests that need no sockets.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -9,6 +9,7 @@
 
 constexpr Micros ms = 1000;
 
+// One class with an aim of 1 s and a deadline of 4 s, one mixer, one cell, up to three attempts.
 inline Settings plainSettings() {
   Settings set;
   ClassSettings cls;
@@ -25,24 +26,26 @@
   return set;
 }
 
+// An Aggregator with a clock that the test advances.
 struct Rig {
   Aggregator brain;
   Micros now = 5000 * ms;
-  std::vector<Action> last;  // of the last step
-  std::vector<Send> sends;   // of the whole run, as are the rest
+  std::vector<Action> last;  // the actions of the last step
+  std::vector<Send> sends;   // of the whole run, as the following lists are
   std::vector<Cancel> cancels;
   std::vector<Answer> answers;
   std::vector<Refuse> refusals;
   std::vector<Fail> fails;
   std::vector<CloseIdle> closes;
   int subscribes = 0, queries = 0;
-  Micros timer = -1;  // when the latest one that was asked for fires
+  Micros timer = -1;  // when the timer set last fires; -1: none was set
 
   explicit Rig(Settings set, std::uint64_t seed = 7) : brain(std::move(set), seed) {}
 
+  // Feeds the events at the current time and records the actions.
   void step(const std::vector<Event>& events) {
     last = brain.react(now, events);
-    std::vector<Event> withdrawn;  // a cancel ends its attempt, as a server that keeps the wire would report
+    std::vector<Event> withdrawn;  // a cancel ends its attempt, as with a server that keeps to the protocol
     for (const Action& a : last)
       if (const auto* x = std::get_if<Cancel>(&a))
         for (const Send& s : sends)
@@ -60,6 +63,7 @@
     }
     if (!withdrawn.empty()) step(withdrawn);
   }
+  // The number of the attempt that a send of the run began, from 0 for each part.
   int attemptOf(const Send& which) const {
     int attempt = 0;
     for (const Send& s : sends) {
@@ -68,9 +72,9 @@
     }
     return attempt;
   }
-  // Lets time pass, a tick at a time, with the timer firing at each.
-  void pass(Micros span) {
-    for (const Micros until = now + span; now < until;) {
+  // Advances the time in steps of 5 ms, with the timer firing at each.
+  void pass(Micros duration) {
+    for (const Micros until = now + duration; now < until;) {
       now += 5 * ms;
       step({TimerFired{}});
     }
@@ -78,8 +82,10 @@
   void servers(std::vector<ServerEntry> entries, ListKind kind = ListKind::complete) {
     step({ListArrived{kind, std::move(entries)}});
   }
+  // Queries that have a final answer.
   std::size_t ended() const { return answers.size() + refusals.size() + fails.size(); }
-  // A query of n equal parts on shards 0..n-1, ids "q1", "q1.0", "q1.1", ...
+  // Submits a query of equal parts on shards 0 to parts - 1, with the ids "q1", "q1.0", "q1.1", ... `left`:
+  // the time until its deadline. Returns the id.
   std::string query(int parts, int cls = 0, Micros left = 4000 * ms, const std::string& key = "k",
                     int tenant = 0) {
     const std::string id = "q" + std::to_string(++queries);
@@ -89,11 +95,12 @@
     step(events);
     return id;
   }
-  // The k-th send of the run ends.
+  // Ends the attempt of the k-th send of the run.
   void finish(std::size_t k, Outcome outcome = Outcome::done) {
     step({AttemptEnded{sends[k].part, attemptOf(sends[k]), outcome, sends[k].server, 0, {}}});
   }
-  // n queries of one part, each served after `latency`: fills trackers and bucket.
+  // Submits n queries of one part, each answered after `latency`, to fill the latency trackers and the
+  // token bucket of hedges.
   void warm(int n, Micros latency, int cls = 0) {
     for (int k = 0; k < n; ++k) {
       query(1, cls, 4000 * ms, "warm" + std::to_string(k));
@@ -104,6 +111,7 @@
   }
 };
 
+// n servers s0, s1, ... that are serving.
 inline std::vector<ServerEntry> fleet(int n) {
   std::vector<ServerEntry> out;
   for (int k = 0; k < n; ++k) out.push_back({"s" + std::to_string(k), 0, 0, ServerState::serving, {}});
