--- a/src/leaf/frame/frame.cpp
+++ b/src/leaf/frame/frame.cpp
@@ -73,10 +73,10 @@
   return out;
 }
 
-std::string writePart(std::string_view id, int shard, std::string_view list, std::string_view text) {
+std::string writePart(std::string_view id, int shard, std::string_view fields, std::string_view text) {
   std::string out(id);
   out += ' ' + std::to_string(shard) + ' ';
-  out += list;
+  out += fields;
   out += ' ' + std::to_string(text.size()) + '\n';
   out += text;
   return out;
--- a/src/leaf/frame/frame.hpp
+++ b/src/leaf/frame/frame.hpp
@@ -21,9 +21,9 @@
 
 // The bytes of a frame.
 std::string writeFrame(char letter, std::string_view content);
-// One part of a call: the line `ID SHARD LIST LENGTH`, then the text. `list`: comma-separated fields such as
+// One part of a call: the line `ID SHARD FIELDS LENGTH`, then the text. `fields`: comma-separated, such as
 // `d=MS`, the time that is left.
-std::string writePart(std::string_view id, int shard, std::string_view list, std::string_view text);
+std::string writePart(std::string_view id, int shard, std::string_view fields, std::string_view text);
 // The answer in a frame with letter O: the line `ID STATUS SCORE REPORT`, then the value. None if it is
 // malformed.
 std::optional<LeafAnswer> readAnswer(const Frame& frame);
--- a/src/standin/frame_leaf.cpp
+++ b/src/standin/frame_leaf.cpp
@@ -78,7 +78,7 @@
   });
 }
 
-// A call is a sequence of parts: a line `ID SHARD LIST LENGTH`, followed by LENGTH bytes of text.
+// A call is a sequence of parts: a line `ID SHARD FIELDS LENGTH`, followed by LENGTH bytes of text.
 void FrameLeaf::handleCall(const std::shared_ptr<Connection>& c, const std::string& content) {
   for (std::size_t at = 0; at < content.size() && !c->closed;) {
     const std::size_t end = content.find('\n', at);
