--- a/Makefile
+++ b/Makefile
@@ -17,7 +17,7 @@
 
 lint: build
 	clang-format --dry-run --Werror $(SOURCES)
-	find src -name '*.cpp' ! -name brain.cpp ! -path 'src/wire/*' | xargs -P4 -n1 clang-tidy --quiet -p build --extra-arg=-Wno-unknown-warning-option
+	find src -name '*.cpp' ! -name aggregator.cpp ! -path 'src/wire/*' | xargs -P4 -n1 clang-tidy --quiet -p build --extra-arg=-Wno-unknown-warning-option
 
 # The state machines at a larger size than CI's; ends with 3 where a limit cuts it short.
 check: build
--- a/bench/grpc_bench.cpp
+++ b/bench/grpc_bench.cpp
@@ -20,10 +20,10 @@
 #include <vector>
 
 #include "front/grpc/server.hpp"
-#include "front/http/clients.hpp"
-#include "leaf/frame/links.hpp"
+#include "front/http/server.hpp"
+#include "leaf/frame/connections.hpp"
 #include "leaf/grpc/channels.hpp"
-#include "leaf/sides.hpp"
+#include "leaf/composite_side.hpp"
 #include "leaf/sockets.hpp"
 #include "standin/frame_leaf.hpp"
 #include "standin/grpc_client.hpp"
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -9,8 +9,8 @@
 
 #include "admin/calls.hpp"
 #include "config/config.hpp"
-#include "core/retune.hpp"
-#include "front/http/clients.hpp"
+#include "core/settings_change.hpp"
+#include "front/http/server.hpp"
 #include "http/http.hpp"
 #include "leaf/frame/frame.hpp"
 
--- a/include/cometdeal/aggregator.hpp
+++ b/include/cometdeal/aggregator.hpp
@@ -1,5 +1,5 @@
 // The interface of the decision module: settings, events, actions, and the class that turns events into
-// actions. All decisions are made in src/brain.cpp. All times are integer microseconds on the host's clock.
+// actions. All decisions are made in src/aggregator.cpp. All times are integer microseconds on the host's clock.
 #pragma once
 
 #include <cstdint>
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -11,7 +11,7 @@
 #include "calls.hpp"
 #include "core/loop.hpp"
 #include "core/settings.hpp"
-#include "core/slots.hpp"
+#include "core/slot_table.hpp"
 
 namespace cometdeal::net {
 
--- a/src/check/explore.hpp
+++ b/src/check/explore.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "world.hpp"
+#include "model.hpp"
 
 namespace cometdeal::check {
 
--- a/src/check/plant.cpp
+++ b/src/check/fault_injection.cpp
@@ -1,5 +1,5 @@
 // The switch that enables an injected fault, for the code that is compiled for the checker.
-#include "core/plant.hpp"
+#include "core/fault_injection.hpp"
 
 namespace cometdeal::net {
 Plant planted = Plant::none;
--- a/src/check/world.cpp
+++ b/src/check/model.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "model.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/check/world.hpp
+++ b/src/check/model.hpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "core/ledger.hpp"
-#include "leaf/frame/links.hpp"
+#include "core/query_tracker.hpp"
+#include "leaf/frame/connections.hpp"
 
 namespace cometdeal::check {
 
--- a/src/config/plans.cpp
+++ b/src/config/plans.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "phases/read.hpp"
+#include "phases/read_plan.hpp"
 #include "yaml.hpp"
 
 namespace cometdeal::net {
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-#include "agenda.hpp"
+#include "timer_queue.hpp"
 
 namespace cometdeal::net {
 
--- a/src/core/seam.hpp
+++ b/src/core/interfaces.hpp
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "flow.hpp"
+#include "message_stream.hpp"
 #include "phases/account.hpp"
 #include "settings.hpp"
-#include "slots.hpp"
+#include "slot_table.hpp"
 
 namespace cometdeal::net {
 
--- a/src/core/mixer.cpp
+++ b/src/core/mixer.cpp
@@ -3,7 +3,7 @@
 #include <chrono>
 
 #include "log.hpp"
-#include "retune.hpp"
+#include "settings_change.hpp"
 
 namespace cometdeal::net {
 namespace {
--- a/src/core/mixer.hpp
+++ b/src/core/mixer.hpp
@@ -9,9 +9,9 @@
 #include <unordered_map>
 
 #include "counters.hpp"
-#include "ledger.hpp"
+#include "query_tracker.hpp"
 #include "loop.hpp"
-#include "seam.hpp"
+#include "interfaces.hpp"
 
 namespace cometdeal::net {
 
--- a/src/core/ledger.cpp
+++ b/src/core/query_tracker.cpp
@@ -1,4 +1,4 @@
-#include "ledger.hpp"
+#include "query_tracker.hpp"
 
 #include <algorithm>
 
--- a/src/core/ledger.hpp
+++ b/src/core/query_tracker.hpp
@@ -21,13 +21,13 @@
 #include <variant>
 #include <vector>
 
-#include "agenda.hpp"
+#include "timer_queue.hpp"
 #include "counters.hpp"
 #include "digest.hpp"
 #include "phases/latency.hpp"
 #include "phases/steps.hpp"
-#include "seam.hpp"
-#include "slots.hpp"
+#include "interfaces.hpp"
+#include "slot_table.hpp"
 
 namespace cometdeal::net {
 
--- a/src/core/retune.cpp
+++ b/src/core/settings_change.cpp
@@ -1,4 +1,4 @@
-#include "retune.hpp"
+#include "settings_change.hpp"
 
 #include <algorithm>
 
--- a/src/core/slots.hpp
+++ b/src/core/slot_table.hpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "plant.hpp"
+#include "fault_injection.hpp"
 
 namespace cometdeal::net {
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/simulation.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "simulation.hpp"
 
 #include <algorithm>
 #include <boost/accumulators/accumulators.hpp>
@@ -14,7 +14,7 @@
 #include <map>
 #include <queue>
 
-#include "core/ledger.hpp"
+#include "core/query_tracker.hpp"
 
 namespace cometdeal::emulator {
 namespace {
--- a/src/front/grpc/calls.hpp
+++ b/src/front/grpc/calls.hpp
@@ -17,11 +17,11 @@
 #include <string>
 #include <vector>
 
-#include "core/agenda.hpp"
+#include "core/timer_queue.hpp"
 #include "core/counters.hpp"
-#include "core/seam.hpp"
+#include "core/interfaces.hpp"
 #include "grpc/routes.hpp"
-#include "grpc/words.hpp"
+#include "grpc/protocol.hpp"
 #include "http2/session.hpp"
 
 namespace cometdeal::net {
--- a/src/front/grpc/server.hpp
+++ b/src/front/grpc/server.hpp
@@ -11,7 +11,7 @@
 #include "core/counters.hpp"
 #include "core/loop.hpp"
 #include "core/mixer.hpp"
-#include "core/slots.hpp"
+#include "core/slot_table.hpp"
 
 namespace cometdeal::net {
 
--- a/src/front/http/clients.cpp
+++ b/src/front/http/server.cpp
@@ -1,4 +1,4 @@
-#include "clients.hpp"
+#include "server.hpp"
 
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -15,7 +15,7 @@
 #include "config/json.hpp"
 #include "core/listen.hpp"
 #include "core/log.hpp"
-#include "phases/read.hpp"
+#include "phases/read_plan.hpp"
 
 namespace cometdeal::net {
 namespace {
--- a/src/front/http/clients.hpp
+++ b/src/front/http/server.hpp
@@ -12,7 +12,7 @@
 #include "core/counters.hpp"
 #include "core/loop.hpp"
 #include "core/mixer.hpp"
-#include "core/slots.hpp"
+#include "core/slot_table.hpp"
 #include "http/http.hpp"
 
 namespace cometdeal::net {
--- a/src/grpc/words.cpp
+++ b/src/grpc/protocol.cpp
@@ -1,4 +1,4 @@
-#include "words.hpp"
+#include "protocol.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/grpc/words.hpp
+++ b/src/grpc/protocol.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/flow.hpp"
+#include "core/message_stream.hpp"
 #include "http2/session.hpp"
 
 namespace cometdeal::grpc {
--- a/src/leaf/sides.hpp
+++ b/src/leaf/composite_side.hpp
@@ -3,7 +3,7 @@
 // handle.
 #pragma once
 
-#include "core/seam.hpp"
+#include "core/interfaces.hpp"
 
 namespace cometdeal::net {
 
--- a/src/leaf/frame/links.cpp
+++ b/src/leaf/frame/connections.cpp
@@ -1,4 +1,4 @@
-#include "links.hpp"
+#include "connections.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/leaf/frame/links.hpp
+++ b/src/leaf/frame/connections.hpp
@@ -22,13 +22,13 @@
 #include <string>
 #include <vector>
 
-#include "core/agenda.hpp"
+#include "core/timer_queue.hpp"
 #include "core/counters.hpp"
 #include "core/digest.hpp"
-#include "core/seam.hpp"
-#include "core/slots.hpp"
+#include "core/interfaces.hpp"
+#include "core/slot_table.hpp"
 #include "frame.hpp"
-#include "leaf/machine.hpp"
+#include "leaf/protocol.hpp"
 
 namespace cometdeal::net {
 
--- a/src/leaf/frame/frame.hpp
+++ b/src/leaf/frame/frame.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/seam.hpp"
+#include "core/interfaces.hpp"
 
 namespace cometdeal::net {
 
--- a/src/leaf/grpc/channels.hpp
+++ b/src/leaf/grpc/channels.hpp
@@ -20,12 +20,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/agenda.hpp"
+#include "core/timer_queue.hpp"
 #include "core/counters.hpp"
-#include "core/slots.hpp"
-#include "grpc/words.hpp"
+#include "core/slot_table.hpp"
+#include "grpc/protocol.hpp"
 #include "http2/session.hpp"
-#include "leaf/machine.hpp"
+#include "leaf/protocol.hpp"
 
 namespace cometdeal::net {
 
--- a/src/leaf/machine.hpp
+++ b/src/leaf/protocol.hpp
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "core/seam.hpp"
+#include "core/interfaces.hpp"
 
 namespace cometdeal::net {
 
--- a/src/leaf/sockets.hpp
+++ b/src/leaf/sockets.hpp
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "core/loop.hpp"
-#include "core/seam.hpp"
-#include "machine.hpp"
+#include "core/interfaces.hpp"
+#include "protocol.hpp"
 
 namespace cometdeal::net {
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -16,8 +16,8 @@
 #include "core/log.hpp"
 #include "core/loop.hpp"
 #include "core/mixer.hpp"
-#include "front/http/clients.hpp"
-#include "leaf/frame/links.hpp"
+#include "front/http/server.hpp"
+#include "leaf/frame/connections.hpp"
 #include "leaf/sockets.hpp"
 #include "membership/discovery.hpp"
 
@@ -25,7 +25,7 @@
 #include "config/plans.hpp"
 #include "front/grpc/server.hpp"
 #include "leaf/grpc/channels.hpp"
-#include "leaf/sides.hpp"
+#include "leaf/composite_side.hpp"
 #endif
 
 namespace {
--- a/src/phases/plan.hpp
+++ b/src/phases/plan.hpp
@@ -1,6 +1,6 @@
 // Plans for queries in two phases: what each phase asks, the minimum share of answers for continuing or
 // answering, how the shards of the second phase are selected, and how the time is divided. No I/O and
-// independent of any protocol: `config/plans` (YAML) and the fronts read plans, `core/ledger` executes them.
+// independent of any protocol: `config/plans` (YAML) and the fronts read plans, `core/query_tracker` executes them.
 //
 // Shares are fractions of the query's total weight, 0 to 1. Times are in microseconds.
 #pragma once
--- a/src/tool/check.cpp
+++ b/src/tool/check.cpp
@@ -9,7 +9,7 @@
 
 #include "check/explore.hpp"
 #include "check/properties.hpp"
-#include "core/plant.hpp"
+#include "core/fault_injection.hpp"
 
 namespace cometdeal::tool {
 namespace {
--- a/src/tool/lab.cpp
+++ b/src/tool/lab.cpp
@@ -18,7 +18,7 @@
 #include <gnuplot-iostream.h>
 #endif
 
-#include "emulator/world.hpp"
+#include "emulator/simulation.hpp"
 
 namespace cometdeal::tool {
 namespace {
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -15,7 +15,7 @@
 #include "config/yaml.hpp"
 #include "front/grpc/server.hpp"
 #include "grpc/routes.hpp"
-#include "grpc/words.hpp"
+#include "grpc/protocol.hpp"
 #include "http2/session.hpp"
 #include "leaf/grpc/channels.hpp"
 #include "leaf/sockets.hpp"
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -12,14 +12,14 @@
 
 #include "config/config.hpp"
 #include "core/deadlines.hpp"
-#include "core/ledger.hpp"
+#include "core/query_tracker.hpp"
 #include "core/mixer.hpp"
-#include "core/retune.hpp"
-#include "core/slots.hpp"
-#include "front/http/clients.hpp"
+#include "core/settings_change.hpp"
+#include "core/slot_table.hpp"
+#include "front/http/server.hpp"
 #include "http/http.hpp"
 #include "leaf/frame/frame.hpp"
-#include "leaf/frame/links.hpp"
+#include "leaf/frame/connections.hpp"
 #include "leaf/sockets.hpp"
 
 #ifdef NDEBUG
--- a/tests/phases_sockets.cpp
+++ b/tests/phases_sockets.cpp
@@ -15,8 +15,8 @@
 
 #include "config/plans.hpp"
 #include "core/mixer.hpp"
-#include "front/http/clients.hpp"
-#include "leaf/frame/links.hpp"
+#include "front/http/server.hpp"
+#include "leaf/frame/connections.hpp"
 #include "leaf/sockets.hpp"
 #include "standin/frame_leaf.hpp"
 #include "standin/http_client.hpp"
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -14,7 +14,7 @@
 #include "config/plans.hpp"
 #include "phases/account.hpp"
 #include "phases/latency.hpp"
-#include "phases/read.hpp"
+#include "phases/read_plan.hpp"
 #include "phases/steps.hpp"
 
 using namespace cometdeal;
