--- a/bench/grpc_bench.cpp
+++ b/bench/grpc_bench.cpp
@@ -21,9 +21,9 @@
 
 #include "front/grpc/server.hpp"
 #include "front/http/server.hpp"
+#include "leaf/composite_side.hpp"
 #include "leaf/frame/connections.hpp"
 #include "leaf/grpc/channels.hpp"
-#include "leaf/composite_side.hpp"
 #include "leaf/sockets.hpp"
 #include "standin/frame_leaf.hpp"
 #include "standin/grpc_client.hpp"
@@ -32,8 +32,8 @@
 
 using namespace cometdeal;
 using namespace cometdeal::net;
+using standin::frameMessage;
 using standin::GrpcClient;
-using standin::message;
 
 namespace {
 
@@ -94,12 +94,12 @@
 void serveLeaf(int pipe) {
   Loop loop;
   http2::Limits limits;
-  limits.streams = 10'000;
-  limits.streamWindow = 256 * 1024;
+  limits.maxConcurrentStreams = 10'000;
+  limits.streamWindowBytes = 256 * 1024;
   standin::GrpcLeaf leaf(loop, limits);
-  leaf.keepMessages = leaf.keepSeen = false;
+  leaf.keepMessages = leaf.recordCalls = false;
   standin::FrameLeaf frames(loop, [](const auto&) { return standin::FrameLeaf::Reply{}; });
-  frames.keepSeen = false;
+  frames.recordParts = false;
   sendPorts(pipe, leaf.port(), frames.port());
   loop.io.run();
 }
@@ -113,7 +113,7 @@
   cls.deadline = 60'000'000;
   set.classes = {cls};
   set.tick = 5'000;
-  set.mayCancel = set.maySecondCopy = true;
+  set.mayCancel = set.mayHedge = true;
   set.maxAttempts = 3;
   HostSettings host;
   host.zones = {"a"};
@@ -126,23 +126,24 @@
   ChannelLimits limits;
   limits.connectionsPerLeaf = config.connectionsPerLeaf;
   limits.portOffset = int(leaf.port) - int(leaf.secondPort);
-  host.streams = 1000;
-  LeafSockets texts(loop, std::make_unique<Links>(linkLimits(host, set, 64), &counters));
+  host.partsPerConnection = 1000;
+  LeafSockets texts(loop,
+                    std::make_unique<FrameConnections>(frameConnectionLimits(host, set, 64), &counters));
   LeafSockets exchanges(loop, std::make_unique<Channels>(limits, &counters));
-  LeafSides sides(texts, exchanges);
+  CompositeLeafSide sides(texts, exchanges);
   Mixer mixer(loop, counters, sides, set, host, 7);
   LeafList list;
-  list.whole = true;
+  list.fullSnapshot = true;
   LeafEntry entry;
   entry.name = "s";
   entry.address = {"127.0.0.1", leaf.secondPort};
   list.entries = {entry};
-  mixer.list(list, ListKind::complete);
+  mixer.updateLeafList(list, ListKind::complete);
   GrpcServer server(loop, counters, mixer, config, host.classKeyed, host.shards);
   server.listen();
-  Clients clients(loop, counters, mixer, 4000);
-  clients.listen({"127.0.0.1", 0});
-  sendPorts(pipe, server.port(), clients.port());
+  HttpServer httpServer(loop, counters, mixer, 4000);
+  httpServer.listen({"127.0.0.1", 0});
+  sendPorts(pipe, server.port(), httpServer.port());
   loop.io.run();
 }
 
@@ -157,7 +158,7 @@
              int atOnce, double seconds, double pace = 0) {
   Loop loop;
   http2::Limits limits;
-  limits.streamWindow = 256 * 1024;
+  limits.streamWindowBytes = 256 * 1024;
   std::vector<std::unique_ptr<GrpcClient>> clients;
   for (int k = 0; k < std::min(4, atOnce); ++k) {
     clients.push_back(std::make_unique<GrpcClient>(loop, port, limits));
@@ -178,12 +179,12 @@
     due > loop.now() ? void(loop.deadlines.add(due, send)) : send();
   };
   for (auto& client : clients)
-    client->onOver = [&, c = client.get()](const GrpcClient::Held& r) {
+    client->onEnd = [&, c = client.get()](const GrpcClient::ResultPtr& r) {
       --open;
       ++out.calls;
       out.failed += r->status != 0;
       out.bytes += r->bytes;
-      times.push_back(double(r->overAt - r->beganAt));
+      times.push_back(double(r->endedAt - r->beganAt));
       if (loop.now() < end) boost::asio::post(loop.strand, [&startCall, c] { startCall(*c); });
     };
   loop.io.run_for(std::chrono::milliseconds(50));
@@ -221,7 +222,7 @@
     loop.deadlines.add(began + Micros(k * 1e6 / rate), [&, k, due = began + Micros(k * 1e6 / rate)] {
       standin::HttpQuery query;
       query.id = std::to_string(getpid()) + "-" + std::to_string(due) + "-" + std::to_string(k);
-      clients[std::size_t(k % kConnections)]->ask(query.request(), [&, due](const HttpMessage& reply) {
+      clients[std::size_t(k % kConnections)]->send(query.request(), [&, due](const HttpMessage& reply) {
         ++answered;
         if (reply.status == 200) times.push_back(double(loop.now() - due));
       });
@@ -251,7 +252,7 @@
 
   std::printf("%-28s %10s %10s %8s %8s %8s %8s %7s\n", "load", "direct/s", "mixer/s", "ratio", "p50 +us",
               "p99 +us", "calls/cpu-s", "failed");
-  const std::string small = message(std::string(100, 'b'));
+  const std::string small = frameMessage(std::string(100, 'b'));
   std::string stream = "read";
   for (int k = 0; k < 16; ++k) stream += " message=65536";
   struct Step {
@@ -321,7 +322,7 @@
     }
     loop.io.run_for(std::chrono::milliseconds(300));
     const double connected = mixer.memoryKb();
-    std::vector<GrpcClient::Held> open;
+    std::vector<GrpcClient::ResultPtr> open;
     for (int k = 0; k < kStreams; ++k) {
       open.push_back(
           idle[0]->call("/b.B/Down", {{"script", "message=10 stall"}, {"grpc-timeout", "30S"}}, small));
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -37,13 +37,13 @@
       const std::size_t before = in.size();
       const HttpParser::State state = parser.feed(in);
       require(in.size() <= before, "the HTTP parser returns more bytes than it was given");
-      if (state == HttpParser::State::bad) {
+      if (state == HttpParser::State::malformed) {
         out.push_back("bad " + std::to_string(parser.errorStatus()));
         require(parser.errorStatus() >= 400 && parser.errorStatus() < 600,
                 "an HTTP error without an error status");
         return out;
       }
-      if (state == HttpParser::State::more) {
+      if (state == HttpParser::State::needMore) {
         require(in.empty(), "the HTTP parser needs more bytes but did not use all");
         break;
       }
@@ -65,18 +65,18 @@
     for (;;) {
       Frame f;
       const FrameReader::State state = reader.next(f);
-      if (state == FrameReader::State::more) break;
-      if (state == FrameReader::State::bad) {
+      if (state == FrameReader::State::needMore) break;
+      if (state == FrameReader::State::malformed) {
         out.emplace_back("bad");
         return out;
       }
-      out.push_back(f.letter + f.rest);
+      out.push_back(f.letter + f.content);
       if (const auto answer = readAnswer(f)) {
         require(!answer->id.empty(), "an answer without an id");
-        require(answer->value.size() < f.rest.size(), "a value longer than its frame");
+        require(answer->value.size() < f.content.size(), "a value longer than its frame");
       }
     }
-    require(reader.held().size() <= 65UL * 1024 + 4,
+    require(reader.unread().size() <= 65UL * 1024 + 4,
             "the frame reader buffers more than a frame's maximum size");
   }
   return out;
@@ -107,7 +107,7 @@
               "a leaf server without an address");
       require(entry.zone >= 0 && entry.zone <= 2, "a zone out of range");
     }
-  } catch (const BadConfig&) {  // the only way to reject a list
+  } catch (const ConfigError&) {  // the only way to reject a list
   }
 }
 
@@ -137,7 +137,7 @@
   Config read;
   try {
     read = readConfig(body);
-  } catch (const BadConfig&) {
+  } catch (const ConfigError&) {
     return;
   }
   require(!read.settings.classes.empty() && read.host.shards > 0,
@@ -153,13 +153,13 @@
   for (int k = 0; k < 3; ++k) {
     Settings next = read.settings;
     next.classes[0].aim += k % 2;
-    const Retune out = retune(
+    const SettingsChange out = planSettingsChange(
         set, host, next, read.host, [k](int) { return k == 1; }, 1000 + k);
     set = out.settings, host = out.host;
-    require(out.from.size() == set.classes.size() && host.classNames.size() == set.classes.size(),
+    require(out.inheritFrom.size() == set.classes.size() && host.classNames.size() == set.classes.size(),
             "the lists of classes differ in size");
     for (std::size_t c = 0; c < next.classes.size(); ++c) {
-      const int index = host.classOf(read.host.classNames[c], 1000 + k);
+      const int index = host.classIndex(read.host.classNames[c], 1000 + k);
       require(index >= 0 && set.classes[std::size_t(index)] == next.classes[c],
               "a class without its new settings");
     }
@@ -176,7 +176,7 @@
   m.target = "/api/user";
   m.headers = {{"x-request-id", "r"}, {"x-priority-class", "plain"}, {"x-timeout", "1.5"}};
   m.body = bytes;
-  const ReadQuery read = readQuery(m, host, 0);
+  const ParsedQuery read = parseQuery(m, host, 0);
   if (read.status != 0)
     return require(read.status >= 400 && read.status < 500, "a status other than 4xx for a bad request");
   require(!read.query.parts.empty() && read.query.parts.size() <= 8, "a query with no part or more than 8");
--- a/include/cometdeal/aggregator.hpp
+++ b/include/cometdeal/aggregator.hpp
@@ -1,5 +1,6 @@
 // The interface of the decision module: settings, events, actions, and the class that turns events into
-// actions. All decisions are made in src/aggregator.cpp. All times are integer microseconds on the host's clock.
+// actions. All decisions are made in src/aggregator.cpp. All times are integer microseconds on the host's
+// clock.
 #pragma once
 
 #include <cstdint>
@@ -32,10 +33,10 @@
   double lateShare = 0.0;  // share of the worth that an answer after the aim earns
   Effect effect = Effect::safe;
   std::optional<Micros> repeatWindow;  // keyed classes: how long the servers recognise and drop repeats
-  double need = 1.0;                   // share of the first step's weight that makes a complete answer
-  double floor = 1.0;                  // minimum share for a partial answer
-  double partial = 0.0;                // a partial answer earns the worth times partial x share / need
-  int followUp = 0;                    // parts of the second step; 0: one step only
+  double requiredShare = 1.0;          // share of the first step's weight that makes a complete answer
+  double minimumShare = 1.0;           // minimum share for a partial answer
+  double partialFactor = 0.0;  // worth of a partial answer: worth x partialFactor x share / requiredShare
+  int secondStepParts = 0;     // parts of the second step; 0: one step only
   bool operator==(const ClassSettings&) const = default;
 };
 
@@ -52,9 +53,9 @@
 };
 
 // Limit of the attempts beyond the first of a part, within a sliding window.
-struct BudgetRule {
-  double free = 0.0;   // number that is always allowed
-  double share = 0.0;  // additional number for each query and part that arrived in the window
+struct AttemptBudget {
+  double baseAttempts = 0.0;        // number that is always allowed
+  double attemptsPerRequest = 0.0;  // additional number for each query and part that arrived in the window
   Micros window = 0;
 };
 
@@ -67,22 +68,22 @@
   Micros tick = 0;                       // granularity of the host's timers
   int cells = 1;                         // shard s is held by the servers of cells (s + j) mod cells ...
   int reach = 1;                         // ... for 0 <= j < reach
-  int bundleMax = 1;              // maximum of parts in a call, for parts sent to a server in the same turn
+  int maxPartsPerCall = 1;        // maximum of parts in a call, for parts sent to a server in the same turn
   bool mayCancel = false;         // whether attempts can be cancelled
-  bool maySecondCopy = false;     // whether a part may have two live attempts (hedging)
+  bool mayHedge = false;          // whether a part may have two live attempts (hedging)
   bool mustAskDiscovery = false;  // whether discovery reports only after Subscribe
   std::optional<int> maxAttempts;
   std::optional<int> maxOpen;           // maximum of open queries and parts
   std::optional<Micros> maxRetryAfter;  // longest retry hint that clients follow; absent: they receive none
   std::optional<Micros> askWithin;      // while not subscribed, discovery must be asked again within this
-  std::optional<Micros> connIdle;       // connections that have been idle for longer close by themselves
+  std::optional<Micros> connectionIdleTimeout;  // connections that are idle for longer close by themselves
   std::optional<ColdRule> cold;
-  std::optional<BudgetRule> budget;
+  std::optional<AttemptBudget> budget;
 };
 
 // Load of a server, as reported with a response.
 struct LoadReport {
-  std::optional<double> held;     // requests in the server
+  std::optional<double> active;   // requests in the server
   std::optional<double> waiting;  // those of them that are queued
 };
 
@@ -95,16 +96,16 @@
 };
 
 // Events.
-struct ListArrived {
+struct ServerListArrived {
   ListKind kind = ListKind::complete;
   std::vector<ServerEntry> entries;
 };
-// Terms of a step that the host ends, by StepBegan or ClientGone. For such a query the module's Answer only
-// notifies the host that nothing more comes of the current step.
+// Terms of a step that the host ends, by StepBegan or QueryCancelled. For such a query the module's Answer
+// only notifies the host that nothing more comes of the current step.
 struct StepTerms {
-  Micros time = 0;        // time limit of the step, hedges included
-  double least = 1.0;     // minimum weight for an answer from this step
-  bool fallback = false;  // whether the result of an earlier step can be answered instead
+  Micros timeLimit = 0;        // time limit of the step, hedges included
+  double minimumWeight = 1.0;  // minimum weight for an answer from this step
+  bool hasFallback = false;    // whether the result of an earlier step can be answered instead
 };
 struct QueryArrived {
   std::string id;
@@ -127,8 +128,8 @@
   std::string id;
   std::int64_t group = 0;
   int shard = 0;
-  double weight = 0.0;      // share of the step's answer
-  std::string prefer = {};  // the server that already holds what the part needs; empty: none
+  double weight = 0.0;               // share of the step's answer
+  std::string preferredServer = {};  // the server that already holds what the part needs; empty: none
 };
 struct AttemptEnded {
   std::string part;
@@ -139,17 +140,18 @@
   std::optional<LoadReport> load;
 };
 // The client has disconnected, or the host has ended the query.
-struct ClientGone {
+struct QueryCancelled {
   std::string id;
 };
 struct TimerFired {};
 // New settings. Open queries refer to their class by its index, so a class that is in use keeps its index.
-struct Retuned {
+struct SettingsChanged {
   Settings settings;
-  std::vector<int> from;  // by class: index of the old class whose learned values it takes over; -1: none
+  // By class: index of the old class whose learned values it takes over; -1: none.
+  std::vector<int> inheritFrom;
 };
-using Event = std::variant<ListArrived, QueryArrived, PartArrived, AttemptEnded, ClientGone, TimerFired,
-                           StepBegan, Retuned>;
+using Event = std::variant<ServerListArrived, QueryArrived, PartArrived, AttemptEnded, QueryCancelled,
+                           TimerFired, StepBegan, SettingsChanged>;
 
 // Actions.
 // Starts an attempt of a part.
@@ -165,7 +167,7 @@
 // Answers a query, or its current step, with the parts done so far.
 struct Answer {
   std::string query;
-  bool whole = false;  // complete, not partial
+  bool complete = false;  // not partial
 };
 // Ends a query without an answer. Its client may send it again.
 struct Refuse {
@@ -203,10 +205,10 @@
 
   // The number of servers on the list, and of those that receive no new parts except probes: draining,
   // ejected, or behind an ejected zone route.
-  struct Listed {
-    int all = 0, avoided = 0;
+  struct ServerCounts {
+    int total = 0, avoided = 0;
   };
-  Listed listed() const;
+  ServerCounts serverCounts() const;
 
   // Handles the events up to `now`, in order of arrival. Returns the actions in the order of execution.
   std::vector<Action> react(Micros now, std::span<const Event> events);
--- a/src/admin/calls.cpp
+++ b/src/admin/calls.cpp
@@ -14,12 +14,12 @@
     out[name] = nlohmann::ordered_json::object();
     for (const auto& [cls, counts] : counters.classes()) out[name][cls] = counts.*part;
   }
-  out["forwards"] = counters.of(Count::forwards);
+  out["forwards"] = counters.value(Counter::forwards);
   out["outstanding"] = status.outstanding;
   out["discovered"] = status.discovered;
   out["ejected"] = status.ejected;
-  out["sighup_applied"] = counters.of(Count::reloads);
-  out["sighup_rejected"] = counters.of(Count::reloadsFailed);
+  out["sighup_applied"] = counters.value(Counter::reloads);
+  out["sighup_rejected"] = counters.value(Counter::reloadsFailed);
   return out.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
 }
 
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -103,7 +103,7 @@
     late->deadline.reset();
     reply(*late, "-ERR no whole call in time\n");
   });
-  Reader(this, connections_.share(h))();
+  Reader(this, connections_.getShared(h))();
 }
 
 // Bytes after the call are read and discarded: a close with unread input would reset the connection, and the
@@ -116,16 +116,16 @@
 // The end of the caller's side also ends its line.
 void AdminServer::onReadEnd(Connection& c) {
   if (c.replied || c.call.partial().empty()) return close(c);
-  const std::shared_ptr<Connection> guard = connections_.share(c.self);
+  const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   reply(c, reply_(c.call.partial()));
   close(c);
 }
 
 void AdminServer::reply(Connection& c, const std::string& text) {
-  const std::shared_ptr<Connection> guard = connections_.share(c.self);
+  const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   c.replied = true;
   c.output = text;
-  loop_.deadlines.drop(c.deadline);
+  loop_.deadlines.cancel(c.deadline);
   c.deadline = loop_.deadlines.add(loop_.now() + kLingerTimeout, [this, h = c.self] {
     if (Connection* due = connections_.get(h)) close(*due);
   });
@@ -139,7 +139,7 @@
     done += c.socket.write_some(boost::asio::buffer(c.output) + done, ec);
     if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) {
       c.socket.async_wait(tcp::socket::wait_write, [this, h = c.self](const error_code&) {
-        const std::shared_ptr<Connection> again = connections_.share(h);
+        const std::shared_ptr<Connection> again = connections_.getShared(h);
         if (again) flush(*again);
       });
       break;
@@ -153,9 +153,9 @@
 
 void AdminServer::close(Connection& c) {
   if (c.closed) return;
-  const std::shared_ptr<Connection> guard = connections_.share(c.self);
+  const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   c.closed = true;
-  loop_.deadlines.drop(c.deadline);
+  loop_.deadlines.cancel(c.deadline);
   error_code ignored;
   c.socket.close(ignored);
   connections_.remove(c.self);
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -54,7 +54,7 @@
   int maxConnections_;
   Reply reply_;
   tcp::acceptor acceptor_;
-  Slots<Connection> connections_;
+  SharedSlotTable<Connection> connections_;
 };
 
 }  // namespace cometdeal::net
--- a/src/aggregator.cpp
+++ b/src/aggregator.cpp
@@ -358,14 +358,14 @@
   Micros tenantTokensAt = 0;
 
   Impl(const Settings& initial, std::uint64_t seed) : salt(mixBits(seed + 1)) {
-    on(Retuned{initial, std::vector<int>(initial.classes.size(), -1)});
+    on(SettingsChanged{initial, std::vector<int>(initial.classes.size(), -1)});
   }
-  void on(const Retuned& e) {
+  void on(const SettingsChanged& e) {
     settings = e.settings;
     latencyByClass.resize(settings.classes.size());
     hedgeBuckets.resize(settings.classes.size());
-    for (std::size_t k = 0; k < e.from.size(); ++k) {
-      const int old = e.from[k];
+    for (std::size_t k = 0; k < e.inheritFrom.size(); ++k) {
+      const int old = e.inheritFrom[k];
       latencyByClass[k] = old < 0 ? LatencyTracker{} : LatencyTracker(latencyByClass[std::size_t(old)]);
       hedgeBuckets[k] = old < 0 ? TokenBucket{} : TokenBucket(hedgeBuckets[std::size_t(old)]);
     }
@@ -385,7 +385,7 @@
   Micros answerMargin() const { return kAnswerMarginTicks * settings.tick + kAnswerMargin; }
   const ClassSettings& classOf(const Query& q) const { return settings.classes[std::size_t(q.cls)]; }
 
-  void on(const ListArrived& list) {
+  void on(const ServerListArrived& list) {
     if (list.kind == ListKind::unavailable) {
       if (!settings.mustAskDiscovery) return;
       subscribed = false;
@@ -516,10 +516,10 @@
     s.latencyRatio += gain * (latency / fleetMedian - s.latencyRatio);
   }
   // How long the connection to a server has been idle. 0 if it is in use, or if the idle time exceeds
-  // connIdle: the connection has then closed by itself.
+  // connectionIdleTimeout: the connection has then closed by itself.
   Micros connIdleTime(const Server& s) const {
     const Micros idle = now - s.connActiveAt;
-    return idle < kMinIdleTime || idle > settings.connIdle.value_or(kNever) ? 0 : idle;
+    return idle < kMinIdleTime || idle > settings.connectionIdleTimeout.value_or(kNever) ? 0 : idle;
   }
   // The number of servers whose time stamp `when` lies within the last `span`.
   int countServersWithin(Micros Server::*when, Micros span) const {
@@ -718,7 +718,7 @@
     if (hashDraw(windowStream, s.id) >= share) return false;
     while (!s.recentSends.empty() && s.recentSends.front() <= now - rule.window) s.recentSends.pop_front();
     const double allowance = share * warmServerRate * double(rule.window) / kSecond;
-    return double(s.recentSends.size()) < std::max(double(std::max(1, settings.bundleMax)), allowance);
+    return double(s.recentSends.size()) < std::max(double(std::max(1, settings.maxPartsPerCall)), allowance);
   }
 
   // How long an attempt of a class may take before it is late.
@@ -729,7 +729,7 @@
   }
 
   int load(const Server& s) const {
-    return settings.bundleMax > 1 ? int(s.outstandingCalls.size()) : s.outstandingParts;
+    return settings.maxPartsPerCall > 1 ? int(s.outstandingCalls.size()) : s.outstandingParts;
   }
   // The latency to expect of one more part of a class, scaled by the parts outstanding at the server. Each
   // other instance is assumed to have as many outstanding there as this one usually has.
@@ -744,7 +744,8 @@
   // share the ranking of a key only where parts share calls: otherwise all parts of a query would go to the
   // same server.
   std::uint64_t homeRank(const Query& q, int shard, const Server& s) const {
-    const std::uint64_t spread = settings.bundleMax > 1 && q.keyed ? 0 : mixBits(std::uint64_t(shard) + 1);
+    const std::uint64_t spread =
+        settings.maxPartsPerCall > 1 && q.keyed ? 0 : mixBits(std::uint64_t(shard) + 1);
     return hashText(q.keyHash ^ spread, s.id);
   }
   // Whether a part has an attempt, or a live attempt, at a server.
@@ -813,7 +814,8 @@
     while (!acceptedAt.empty() && acceptedAt.front() <= from + settings.tick) acceptedAt.pop_front();
     while (!extraAttemptsAt.empty() && extraAttemptsAt.front() < from) extraAttemptsAt.pop_front();
     return double(extraAttemptsAt.size()) + 1.0 <=
-           settings.budget->free + settings.budget->share * double(acceptedAt.size()) + 1e-9;
+           settings.budget->baseAttempts + settings.budget->attemptsPerRequest * double(acceptedAt.size()) +
+               1e-9;
   }
   // Whether one more attempt of a part cannot have its effect twice.
   bool effectAllows(const Query& q, const Part& p) const {
@@ -828,13 +830,13 @@
     if (s->state != ServerState::serving || triedOn(p, s, true) || !coldStartAllows(q, *s)) return false;
     if (std::ranges::count(holders(p.shard), s) == 0) return false;
     if (settings.maxAttempts && int(p.attempts.size()) >= *settings.maxAttempts) return false;
-    if (p.hasLiveAttempt() && !settings.maySecondCopy) return false;
+    if (p.hasLiveAttempt() && !settings.mayHedge) return false;
     if (!effectAllows(q, p)) return false;
     if (!p.attempts.empty()) {
       if (!budgetAllows()) return false;
       if (settings.budget) extraAttemptsAt.push_back(now);
     }
-    if (s->openTurn != turn || s->openCallParts >= std::max(1, settings.bundleMax)) {
+    if (s->openTurn != turn || s->openCallParts >= std::max(1, settings.maxPartsPerCall)) {
       s->openTurn = turn;
       s->openCall = ++lastCallId;
       s->openCallParts = 0;
@@ -924,7 +926,7 @@
   // Where some of the parts suffice for a complete answer, selects those expected first; the rest are spares.
   void selectParts(Query& q) {
     const ClassSettings& cls = classOf(q);
-    if (q.step != 1 || q.terms || cls.need >= 1.0 - kWeightTolerance) return;
+    if (q.step != 1 || q.terms || cls.requiredShare >= 1.0 - kWeightTolerance) return;
     std::vector<std::pair<Micros, std::size_t>> order;
     for (std::size_t k = 0; k < q.parts.size(); ++k) {
       Server* s = firstAttemptTarget(q, q.parts[k]);
@@ -933,7 +935,7 @@
     std::sort(order.begin(), order.end());
     double sum = 0;
     for (const auto& [expected, k] : order) {
-      q.parts[k].spare = sum >= cls.need - kWeightTolerance;
+      q.parts[k].spare = sum >= cls.requiredShare - kWeightTolerance;
       sum += q.parts[k].weight;
     }
   }
@@ -1070,10 +1072,10 @@
   void answer(Query& q, bool complete) {
     actions.push_back(Answer{q.id, complete});
     const ClassSettings& cls = classOf(q);
-    if (q.step == 2 || cls.followUp <= 0) return endQuery(q);
+    if (q.step == 2 || cls.secondStepParts <= 0) return endQuery(q);
     q.firstStepComplete = complete;
     const auto doneParts = std::ranges::count_if(q.parts, [](const Part& p) { return p.done; });
-    beginSecondStep(q, std::size_t(std::min<std::ptrdiff_t>(cls.followUp, doneParts)));
+    beginSecondStep(q, std::size_t(std::min<std::ptrdiff_t>(cls.secondStepParts, doneParts)));
   }
   void beginSecondStep(Query& q, std::size_t parts) {
     for (Part& p : q.parts) {
@@ -1090,7 +1092,7 @@
     Query& q = queries.at(at->second);
     q.terms = e.terms;
     q.hostNotified = false;
-    q.aimAt = std::min(now + e.terms.time, q.deadlineAt);
+    q.aimAt = std::min(now + e.terms.timeLimit, q.deadlineAt);
     beginSecondStep(q, std::size_t(e.parts));
     markTouched(q);
   }
@@ -1102,9 +1104,10 @@
     }
     const ClassSettings& cls = classOf(q);
     const bool allPartsArrived = q.stepPartCount > 0 && q.parts.size() - q.stepFirstPart >= q.stepPartCount;
-    const double required = q.step == 1 ? cls.need : 1.0;
+    const double required = q.step == 1 ? cls.requiredShare : 1.0;
     const double minimum =
-        q.step == 1 ? cls.floor : (cls.floor < cls.need - kWeightTolerance ? cls.floor : 1.0);
+        q.step == 1 ? cls.minimumShare
+                    : (cls.minimumShare < cls.requiredShare - kWeightTolerance ? cls.minimumShare : 1.0);
     const double doneWeight = completedWeight(q);
     bool allDone = allPartsArrived;
     double possibleWeight = 0;
@@ -1116,7 +1119,7 @@
       if (q.hostNotified || (now < q.deadlineAt - answerMargin() &&
                              (!allPartsArrived || possibleWeight > doneWeight + kWeightTolerance)))
         return;
-      if (doneWeight < q.terms->least - kWeightTolerance && !q.terms->fallback) return abandon(q);
+      if (doneWeight < q.terms->minimumWeight - kWeightTolerance && !q.terms->hasFallback) return abandon(q);
       q.hostNotified = true;
       return actions.push_back(Answer{q.id, false});
     }
@@ -1125,7 +1128,7 @@
       return answer(q, q.step == 1 || q.firstStepComplete);
     const bool partialSuffices =
         allPartsArrived && minimum < required - kWeightTolerance && doneWeight >= minimum - kWeightTolerance;
-    const Micros secondStepReserve = q.step == 1 && cls.followUp > 0 ? hedgeDelay(q.cls) : 0;
+    const Micros secondStepReserve = q.step == 1 && cls.secondStepParts > 0 ? hedgeDelay(q.cls) : 0;
     if (partialSuffices) {
       const bool completePossible = possibleWeight >= required - kWeightTolerance;
       if (!completePossible || now >= q.aimAt - answerMargin() - secondStepReserve) return answer(q, false);
@@ -1158,7 +1161,7 @@
     q.stepPartCount = std::size_t(std::max(0, e.parts));
     meanPartsPerQuery += kEwmaWeight * (double(q.stepPartCount) - meanPartsPerQuery);
     q.terms = e.terms;
-    if (q.terms) q.aimAt = std::min(now + q.terms->time, q.deadlineAt);
+    if (q.terms) q.aimAt = std::min(now + q.terms->timeLimit, q.deadlineAt);
     q.overShare = !takeTenantToken(e.tenant);
     q.suspectRepeat = e.repeated && countServersWithin(&Server::lastResetAt, kResetSpan) >= kMinResetServers;
     groupOf[e.id] = e.group;
@@ -1171,7 +1174,7 @@
     p.id = e.id;
     p.shard = e.shard;
     p.weight = e.weight;
-    p.preferredServer = e.prefer;
+    p.preferredServer = e.preferredServer;
     markTouched(at->second);
     groupOf[e.id] = e.group;
   }
@@ -1218,7 +1221,8 @@
       partsAsked += 1;
     }
     expected /= std::max(1.0, partsAsked);
-    const bool tooLittleInTime = inTimeWeight < std::min(cls.floor, cls.need) - kWeightTolerance;
+    const bool tooLittleInTime =
+        inTimeWeight < std::min(cls.minimumShare, cls.requiredShare) - kWeightTolerance;
     if (tooLittleInTime || expected > std::min(maxExpected, timeLeft)) return abandon(q, Micros(expected));
     q.awaitingAdmission = false;
   }
@@ -1229,7 +1233,7 @@
       nextSweep = now;
     }
   }
-  void on(const ClientGone& e) {
+  void on(const QueryCancelled& e) {
     const auto at = groupOf.find(e.id);
     if (at == groupOf.end()) return;
     Query& q = queries.at(at->second);
@@ -1289,11 +1293,11 @@
 Aggregator::Aggregator(Aggregator&&) noexcept = default;
 Aggregator& Aggregator::operator=(Aggregator&&) noexcept = default;
 
-Aggregator::Listed Aggregator::listed() const {
-  Listed counts;
+Aggregator::ServerCounts Aggregator::serverCounts() const {
+  ServerCounts counts;
   for (const auto& [id, s] : impl_->servers) {
     if (s.state == ServerState::gone) continue;  // retained while attempts refer to it
-    ++counts.all;
+    ++counts.total;
     if (s.state == ServerState::draining || s.ejection.active || impl_->routeEjected(s)) ++counts.avoided;
   }
   return counts;
--- a/src/check/fault_injection.cpp
+++ b/src/check/fault_injection.cpp
@@ -2,5 +2,5 @@
 #include "core/fault_injection.hpp"
 
 namespace cometdeal::net {
-Plant planted = Plant::none;
+InjectedFault injectedFault = InjectedFault::none;
 }
--- a/src/check/model.cpp
+++ b/src/check/model.cpp
@@ -14,30 +14,30 @@
 constexpr Micros kStart = 1'000'000'000;
 constexpr std::uint16_t kPort = 4000;
 
-std::shared_ptr<const Ledger::Rules> trackerConfig(const Scope& scope) {
-  Ledger::Rules out;
+std::shared_ptr<const QueryTracker::Config> trackerConfig(const Scope& scope) {
+  QueryTracker::Config out;
   ClassSettings safe, keyed, plan;
   safe.aim = safe.deadline = keyed.aim = keyed.deadline = plan.aim = plan.deadline = scope.ticks * kTick;
   keyed.effect = Effect::keyed;
   keyed.repeatWindow = 2 * kTick;
-  plan.followUp = 1;
+  plan.secondStepParts = 1;
   out.settings.classes = {safe, keyed, plan};
   out.settings.maxAttempts = scope.attempts;
-  out.settings.mayCancel = out.settings.maySecondCopy = true;
+  out.settings.mayCancel = out.settings.mayHedge = true;
   out.host.classKeyed = {false, true, false};
-  out.host.mayRetryAfter = true;
-  return std::make_shared<const Ledger::Rules>(std::move(out));
+  out.host.sendRetryAfter = true;
+  return std::make_shared<const QueryTracker::Config>(std::move(out));
 }
 
-LinkLimits limits(const Scope& scope) {
-  LinkLimits out;
-  out.spreadAfter = 0;  // off, because a decaying counter would make equivalent states differ
+FrameConnectionLimits limits(const Scope& scope) {
+  FrameConnectionLimits out;
+  out.spreadThreshold = 0;  // off, because a decaying counter would make equivalent states differ
   out.connectTimeout = kTick;
-  out.frameTime = kTick;
-  out.silentLeast = out.silentMost = kTick;  // fixed, so that no smoothed time is part of the state
-  out.streams = scope.parts * scope.queries;
-  out.linksMost = scope.servers * scope.connectionsPerServer;
-  out.pastMost = 4;
+  out.frameTimeout = kTick;
+  out.minSilence = out.maxSilence = kTick;  // fixed, so that no smoothed time is part of the state
+  out.partsPerConnection = scope.parts * scope.queries;
+  out.maxConnections = scope.servers * scope.connectionsPerServer;
+  out.maxPastIds = 4;
   return out;
 }
 
@@ -50,8 +50,8 @@
   static const auto out = [] {
     auto made = std::make_shared<phases::Plan>();
     made->phases.resize(2);
-    made->phases[0].least = 0.5;
-    made->phases[1].prune.most = 1;
+    made->phases[0].minimumShare = 0.5;
+    made->phases[1].prune.maxShards = 1;
     made->phases[1].prune.lossless = true;
     return std::shared_ptr<const phases::Plan>(std::move(made));
   }();
@@ -68,13 +68,13 @@
 struct Model::LeafSideAdapter {
   Model& model;
   void send(const std::string& server, std::vector<Call> calls) {
-    for (const Call& call : calls) model.attempts_[number(call.attempt)] = {call.id, false, false};
+    for (const Call& call : calls) model.attempts_[toNumber(call.attempt)] = {call.id, false, false};
     model.connections_.send(server, std::move(calls));
     model.processEffects();
   }
-  void giveUp(Handle attempt) {
-    model.attempts_.erase(number(attempt));
-    model.connections_.giveUp(attempt);
+  void abandon(Handle attempt) {
+    model.attempts_.erase(toNumber(attempt));
+    model.connections_.abandon(attempt);
     model.processEffects();
   }
   void withdraw(Handle attempt) {
@@ -96,7 +96,7 @@
       servers_(std::size_t(scope.servers), ServerState::serving),
       startedMs_(std::size_t(scope.servers), 0) {
   // A constant replaces the learned latencies, so that they are not part of the state.
-  tracker_.phaseNeeds = [](const std::string&, int, std::size_t, double) {
+  tracker_.phaseTimeOverride = [](const std::string&, int, std::size_t, double) {
     return std::optional<Micros>(kTick);
   };
   attach();
@@ -112,18 +112,18 @@
 // Points the state machines to the counters and the time of this object, which may be a copy of another
 // model.
 void Model::attach() {
-  tracker_.countTo(&counters_);
-  connections_.countTo(&counters_);
-  tracker_.at(now_);
-  connections_.at(now_);
+  tracker_.setCounters(&counters_);
+  connections_.setCounters(&counters_);
+  tracker_.setNow(now_);
+  connections_.setNow(now_);
 }
 
 void Model::reportViolation(const char* property, std::string what) {
   if (!violation_) violation_ = Violation{property, std::move(what)};
 }
 
-std::optional<Ledger::Sight::Part> Model::partOf(Step step) const {
-  for (const Ledger::Sight& q : tracker_.sight())
+std::optional<QueryTracker::QueryView::Part> Model::partOf(Step step) const {
+  for (const QueryTracker::QueryView& q : tracker_.queryViews())
     if (q.handle == queries_[step.a].handle && step.b < q.parts.size()) return q.parts[step.b];
   return std::nullopt;
 }
@@ -145,7 +145,7 @@
   entry.name = "s" + std::to_string(server);
   entry.address = {"127.0.0.1", std::uint16_t(kPort + server)};
   entry.state = state;
-  entry.sinceMs = startedMs;
+  entry.startedUnixMs = startedMs;
   servers_[std::size_t(server)] = state;
   connections_.update(entry);
 }
@@ -163,7 +163,7 @@
     if (actions_ >= scope_->actions) return out;
     bool sentAny = false;
     for (const auto& [id, observation] : parts_) sentAny = sentAny || observation.sendsBegun > 0;
-    for (const Ledger::Sight& q : tracker_.sight()) {
+    for (const QueryTracker::QueryView& q : tracker_.queryViews()) {
       const std::size_t index = queryIndex(q.handle);
       // A refusal stands for a failure too, which the state machines treat alike. Refusing a query that has
       // ended must have no effect.
@@ -171,7 +171,7 @@
       if (q.ended) continue;
       bool complete = true, earlierUntried = false;
       for (std::size_t p = 0; p < q.parts.size(); ++p) {
-        const Ledger::Sight::Part& part = q.parts[p];
+        const QueryTracker::QueryView::Part& part = q.parts[p];
         if (!part.current) continue;
         complete = complete && part.done;
         const auto live = std::ranges::count(part.live, true);
@@ -259,19 +259,19 @@
       q.cls = step.a == 0 && scope_->keyed ? 1 : step.a == 0 && scope_->secondStep ? 2 : 0;
       if (q.cls == 1) q.idempotencyKey = "k";
       if (step.a == 0 && scope_->phases) q.cls = 0, q.plan = plan();
-      q.until = kStart + scope_->ticks * kTick;
+      q.deadline = kStart + scope_->ticks * kTick;
       for (int p = 0; p < scope_->parts; ++p) q.parts.push_back({p, 1.0 / scope_->parts});
       q.text = "t";
       QueryObservation& observation = queries_[step.a];
       observation.submitted = true;
-      if (tracker_.submit(std::move(q), observation.handle) != Ledger::Taken::open)
+      if (tracker_.submit(std::move(q), observation.handle) != QueryTracker::SubmitResult::accepted)
         reportViolation(kOneAnswer.name, "a query is not accepted");
       break;
     }
     case StepKind::clientDisconnects:
       fault();
       queries_[step.a].clientGone = true;
-      tracker_.abandon(queries_[step.a].handle);
+      tracker_.cancelQuery(queries_[step.a].handle);
       break;
     case StepKind::beginTurn:
       tracker_.takeEvents();
@@ -282,19 +282,19 @@
     case StepKind::send:
       ++actions_, ++sends_;
       if (const auto part = partOf(step))
-        tracker_.act(Send{part->id, "s" + std::to_string(step.c), part->live.empty() ? kTick : 0});
+        tracker_.apply(Send{part->id, "s" + std::to_string(step.c), part->live.empty() ? kTick : 0});
       break;
     case StepKind::cancel:
       ++actions_;
-      if (const auto part = partOf(step)) tracker_.act(Cancel{part->id, int(step.c)});
+      if (const auto part = partOf(step)) tracker_.apply(Cancel{part->id, int(step.c)});
       break;
     case StepKind::answer:
       ++actions_;
-      tracker_.act(Answer{"q" + std::to_string(step.a), true});
+      tracker_.apply(Answer{"q" + std::to_string(step.a), true});
       break;
     case StepKind::refuse:
       ++actions_;
-      tracker_.act(Refuse{"q" + std::to_string(step.a), std::nullopt});
+      tracker_.apply(Refuse{"q" + std::to_string(step.a), std::nullopt});
       break;
     case StepKind::endTurn:
       tracker_.flushCalls();
@@ -302,7 +302,7 @@
       break;
     case StepKind::connected:
       socket().connected = true;
-      connections_.cameUp(socket().connection, unixMs());
+      connections_.connected(socket().connection, unixMs());
       break;
     case StepKind::connectRefused:
       fault();
@@ -360,7 +360,7 @@
       const Socket s = socket();
       sockets_.erase(sockets_.begin() + step.a);
       if (!s.connected) {
-        connections_.cameUp(s.connection, unixMs());
+        connections_.connected(s.connection, unixMs());
         break;
       }
       if (!s.unanswered.empty()) connections_.received(s.connection, answerFrame(s.unanswered[0], "200"));
@@ -388,10 +388,10 @@
     case StepKind::runDueTimers:
       if (step.a == 0) {
         trackerTimersDue_ = false;
-        tracker_.sweep();
+        tracker_.runDueTimers();
       } else {
         connectionTimersDue_ = false;
-        connections_.sweep();
+        connections_.runDueTimers();
       }
       break;
   }
@@ -406,7 +406,7 @@
   do {
     processEffects();
     processCommands();
-  } while (!tracker_.quiet() || !connections_.quiet());
+  } while (!tracker_.idle() || !connections_.idle());
   newEvents_ = newEvents_ || tracker_.hasEvents();
 }
 
@@ -414,7 +414,7 @@
   if (processingCommands_) return;  // called from within a command: the running loop processes what it caused
   processingCommands_ = true;
   LeafSideAdapter side{*this};
-  carryOut(
+  executeCommands(
       tracker_, side, [this](Handle query, const FinalAnswer& answer) { onFinalAnswer(query, answer); },
       [this](const char* what, const std::string& id) {
         if (std::string_view(what) != "the module left a query open until its end")
@@ -426,23 +426,23 @@
 void Model::processEffects() {
   if (processingEffects_) return;
   processingEffects_ = true;
-  while (!connections_.quiet())
-    for (Links::Effect& effect : connections_.take()) {
-      if (const auto* open = std::get_if<Links::Open>(&effect)) {
+  while (!connections_.idle())
+    for (FrameConnections::Effect& effect : connections_.takeEffects()) {
+      if (const auto* open = std::get_if<FrameConnections::Open>(&effect)) {
         Socket s;
-        s.connection = open->link;
+        s.connection = open->connection;
         s.server = open->address.port - kPort;
         sockets_.push_back(std::move(s));
-      } else if (const auto* flush = std::get_if<Links::Flush>(&effect)) {
-        if (Socket* s = socketFor(flush->link)) writeOut(*s);
-      } else if (const auto* close = std::get_if<Links::Close>(&effect)) {
+      } else if (const auto* flush = std::get_if<FrameConnections::Flush>(&effect)) {
+        if (Socket* s = socketFor(flush->connection)) writeOut(*s);
+      } else if (const auto* close = std::get_if<FrameConnections::Close>(&effect)) {
         // A late callback makes a difference only if the connection was not established yet or an answer is
         // outstanding; otherwise the socket is removed at once.
-        if (Socket* s = socketFor(close->link); s && (!s->connected || !s->unanswered.empty()))
+        if (Socket* s = socketFor(close->connection); s && (!s->connected || !s->unanswered.empty()))
           s->closedHere = true;
         else if (s)
           sockets_.erase(sockets_.begin() + (s - sockets_.data()));
-      } else if (auto* end = std::get_if<Links::Ended>(&effect)) {
+      } else if (auto* end = std::get_if<FrameConnections::Ended>(&effect)) {
         onAttemptEnded(*end);
       }
     }
@@ -451,24 +451,25 @@
 
 void Model::writeOut(Socket& s) {
   for (;;) {
-    const std::string_view bytes = connections_.front(s.connection);
+    const std::string_view bytes = connections_.nextBytes(s.connection);
     if (bytes.empty()) return;
-    const bool begun = connections_.frontBegun(s.connection);
-    const std::vector<Handle> attempts = connections_.frontAttempts(s.connection);
+    const bool begun = connections_.nextFrameBegun(s.connection);
+    const std::vector<Handle> attempts = connections_.nextFrameAttempts(s.connection);
     const std::size_t n = s.writeCapacity == WriteCapacity::all    ? bytes.size()
                           : s.writeCapacity == WriteCapacity::half ? bytes.size() / 2
                                                                    : 0;
     if (n > 0 && !begun && !attempts.empty()) onFrameStart(attempts, s);
     if (n == bytes.size()) {
       for (const Handle h : attempts)
-        if (const auto it = attempts_.find(number(h)); it != attempts_.end()) it->second.sendComplete = true;
+        if (const auto it = attempts_.find(toNumber(h)); it != attempts_.end())
+          it->second.sendComplete = true;
       for (std::string& part : std::exchange(s.frameParts, {})) s.unanswered.push_back(std::move(part));
     }
-    if (n > 0) connections_.wrote(s.connection, n);
+    if (n > 0) connections_.bytesWritten(s.connection, n);
     if (n == bytes.size()) continue;
     s.writeCapacity = WriteCapacity::none;
     s.blockReported = true;
-    connections_.blocked(s.connection);
+    connections_.writeBlocked(s.connection);
     return;
   }
 }
@@ -476,7 +477,7 @@
 // Called when the first byte of a frame with parts is written. Most properties are checked here.
 void Model::onFrameStart(const std::vector<Handle>& attempts, Socket& s) {
   for (const Handle h : attempts) {
-    const auto it = attempts_.find(number(h));
+    const auto it = attempts_.find(toNumber(h));
     const std::size_t query = queryIndex(tracker_.queryOf(h));
     if (it == attempts_.end() || query >= queries_.size()) {
       reportViolation(kNothingAfter.name, "a part of an attempt that has ended is sent");
@@ -494,7 +495,7 @@
     const bool keyed = scope_->keyed && queryOf(id) == 0;
     if (keyed && !part.mayHaveRun.empty() && now_ >= part.mayHaveRun.front().second + 2 * kTick)
       reportViolation(kWindow.name, id + " is sent again after its window");
-    part.mayHaveRun.emplace_back(number(h), now_);
+    part.mayHaveRun.emplace_back(toNumber(h), now_);
     const std::size_t server = std::size_t(s.server);
     // The state machines stop sending at once. That is stricter than the property and can be checked in a
     // model of a few ticks.
@@ -504,8 +505,8 @@
   }
 }
 
-void Model::onAttemptEnded(Links::Ended& end) {
-  const auto it = attempts_.find(number(end.attempt));
+void Model::onAttemptEnded(FrameConnections::Ended& end) {
+  const auto it = attempts_.find(toNumber(end.attempt));
   const bool known = it != attempts_.end();
   const AttemptObservation attempt = known ? it->second : AttemptObservation{};
   if (known) {
@@ -518,7 +519,7 @@
       reportViolation(kWritten.name, attempt.part + " was withdrawn, but part of it had been written");
     if (end.outcome == Outcome::busy || end.outcome == Outcome::connectFailed)
       std::erase_if(parts_[attempt.part].mayHaveRun,
-                    [&](const auto& sending) { return sending.first == number(end.attempt); });
+                    [&](const auto& sending) { return sending.first == toNumber(end.attempt); });
     if (end.outcome == Outcome::done && end.answer.value != "value of " + attempt.part)
       reportViolation(kOwnValue.name, attempt.part + " is given '" + end.answer.value + "'");
     if (end.outcome == Outcome::done && !attempt.sendComplete)
@@ -526,7 +527,7 @@
   } else {
     reportViolation(kOneEnd.name, "an attempt that was not outstanding has ended");
   }
-  tracker_.ended(end.attempt, end.outcome, std::move(end.answer));
+  tracker_.attemptEnded(end.attempt, end.outcome, std::move(end.answer));
   processCommands();
 }
 
@@ -543,14 +544,14 @@
         answer.account->phases.size() > 1 && answer.account->phases[1].asked > 0 ? &answer.account->phases[1]
                                                                                  : nullptr;
     // Checked against the rows of the answer, because the account might be wrong.
-    const bool fromSecond = answer.account->second == phases::Step::Second::whole ||
-                            answer.account->second == phases::Step::Second::cut;
+    const bool fromSecond = answer.account->secondPhase == phases::Step::SecondPhase::complete ||
+                            answer.account->secondPhase == phases::Step::SecondPhase::cut;
     const int rows = int(answer.rows.size()), minimum = fromSecond ? second->asked : (first.asked + 1) / 2;
     if (rows < minimum)
       reportViolation(kLeastShare.name, "q" + std::to_string(index) + " is answered from " +
                                             std::to_string(rows) + " parts, the minimum is " +
                                             std::to_string(minimum));
-    if (answer.whole && (first.in < first.asked || !fromSecond || rows < second->asked))
+    if (answer.complete && (first.answered < first.asked || !fromSecond || rows < second->asked))
       reportViolation(kLeastShare.name, "q" + std::to_string(index) + " is marked complete and is not");
   }
   for (const Row& row : answer.rows) {
@@ -572,22 +573,23 @@
       reportViolation(kInTime.name, "q" + std::to_string(k) + " has no answer at its deadline");
   }
   if (inTurn_) return;
-  const Ledger::Sums sums = tracker_.sums();
+  const QueryTracker::Usage usage = tracker_.usage();
   std::size_t outstanding = 0;
-  for (const Ledger::Sight& q : tracker_.sight())
+  for (const QueryTracker::QueryView& q : tracker_.queryViews())
     for (const auto& part : q.parts) outstanding += std::size_t(std::ranges::count(part.live, true));
-  if (outstanding != sums.attempts) reportViolation(kNoLeak.name, "an attempt is not known to any part");
-  if (outstanding != attempts_.size() || outstanding != connections_.places())
+  if (outstanding != usage.attempts) reportViolation(kNoLeak.name, "an attempt is not known to any part");
+  if (outstanding != attempts_.size() || outstanding != connections_.attemptCount())
     reportViolation(kOneEnd.name, "the query tracker has " + std::to_string(outstanding) +
                                       " outstanding attempts, the leaf connections " +
-                                      std::to_string(connections_.places()));
+                                      std::to_string(connections_.attemptCount()));
   if (allEnded && outstanding == 0 &&
-      (sums.queries != 0 || sums.ids != 0 || sums.due != 0 || sums.held != 0 || tracker_.open() != 0))
-    reportViolation(kNoLeak.name, "with nothing outstanding, " + std::to_string(sums.queries) + " queries, " +
-                                      std::to_string(sums.ids) + " ids, " + std::to_string(sums.due) +
-                                      " timers and " + std::to_string(sums.held) +
-                                      " units of open load remain");
-  if (connections_.due() > 2 * connections_.size())
+      (usage.queries != 0 || usage.ids != 0 || usage.timers != 0 || usage.open != 0 ||
+       tracker_.openQueries() != 0))
+    reportViolation(kNoLeak.name, "with nothing outstanding, " + std::to_string(usage.queries) +
+                                      " queries, " + std::to_string(usage.ids) + " ids, " +
+                                      std::to_string(usage.timers) + " timers and " +
+                                      std::to_string(usage.open) + " units of open load remain");
+  if (connections_.timerCount() > 2 * connections_.connectionCount())
     reportViolation(kNoLeak.name, "timers without a connection");
 }
 
@@ -602,11 +604,11 @@
     to << id << part.sendsBegun;
     for (const auto& [attempt, sentAt] : part.mayHaveRun)
       to.time(std::max(sentAt, now_ - 2 * kTick))
-          << tracker_.nameOf({std::uint32_t(attempt), std::uint32_t(attempt >> 32)});
+          << tracker_.attemptName({std::uint32_t(attempt), std::uint32_t(attempt >> 32)});
   }
   for (const std::int64_t startedMs : startedMs_) to << (startedMs != 0);
   tracker_.digest(to);
-  connections_.digest(to, [this](Handle attempt) { return tracker_.nameOf(attempt); });
+  connections_.digest(to, [this](Handle attempt) { return tracker_.attemptName(attempt); });
   for (const Socket& s : sockets_) digestSocket(to, s);
   return std::move(to.bytes());
 }
@@ -620,7 +622,7 @@
 
 void Model::sortSockets() {
   std::vector<Socket> sorted;
-  for (const Handle connection : connections_.all())
+  for (const Handle connection : connections_.connections())
     if (Socket* s = socketFor(connection)) sorted.push_back(std::move(*s));
   std::vector<std::pair<std::string, Socket>> closed;
   for (Socket& s : sockets_) {
--- a/src/check/model.hpp
+++ b/src/check/model.hpp
@@ -1,7 +1,7 @@
-// Model for the checker: the state machines of one mixer (`Ledger` and `Links`, the same code that serves) in
-// a small environment that may do anything the protocol allows. The environment consists of a decision module
-// that takes any legal action at any time, leaf servers, sockets, discovery, clients and time. A copied model
-// evolves independently of the original.
+// Model for the checker: the state machines of one mixer (`QueryTracker` and `FrameConnections`, the same
+// code that serves) in a small environment that may do anything the protocol allows. The environment consists
+// of a decision module that takes any legal action at any time, leaf servers, sockets, discovery, clients and
+// time. A copied model evolves independently of the original.
 #pragma once
 
 #include <compare>
@@ -92,7 +92,7 @@
     bool connected = false;
     bool closedHere = false;  // closed by the mixer, but a callback is still pending
     WriteCapacity writeCapacity = WriteCapacity::all;
-    bool blockReported = false;           // `Links` has been notified that the socket is blocked
+    bool blockReported = false;           // `FrameConnections` has been notified that the socket is blocked
     std::vector<std::string> frameParts;  // parts of the frame that is being written
     std::vector<std::string> unanswered;  // parts that the leaf server has received and not answered
     std::string lastAnswer;               // frame of its latest answer
@@ -121,12 +121,12 @@
   void processEffects();
   void writeOut(Socket& s);
   void onFrameStart(const std::vector<Handle>& attempts, Socket& s);
-  void onAttemptEnded(net::Links::Ended& end);
+  void onAttemptEnded(net::FrameConnections::Ended& end);
   void onFinalAnswer(Handle query, const net::FinalAnswer& answer);
   void updateServer(int server, ServerState state, std::int64_t startedMs);
   void checkInvariants();
   void reportViolation(const char* property, std::string what);
-  std::optional<net::Ledger::Sight::Part> partOf(Step step) const;
+  std::optional<net::QueryTracker::QueryView::Part> partOf(Step step) const;
   std::size_t queryIndex(Handle handle) const;  // the number of queries if there is none
   void sortSockets();                           // into an order that is the same in equivalent states
   Socket* socketFor(Handle connection);
@@ -135,8 +135,8 @@
 
   std::shared_ptr<const Scope> scope_;
   net::Counters counters_;
-  net::Ledger tracker_;
-  net::Links connections_;
+  net::QueryTracker tracker_;
+  net::FrameConnections connections_;
   Micros now_ = 0;
   int ticks_ = 0, faults_ = 0, sends_ = 0, actions_ = 0;
   bool inTurn_ = false, newEvents_ = false;  // newEvents_: there are events for the decision module
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -19,7 +19,7 @@
 
 const Json& need(const Json& object, const char* name) {
   const auto at = object.find(name);
-  if (at == object.end()) throw BadConfig(std::string("'") + name + "' is missing");
+  if (at == object.end()) throw ConfigError(std::string("'") + name + "' is missing");
   return *at;
 }
 // Rejects a number outside the range of T, whose conversion would be undefined behaviour.
@@ -27,7 +27,7 @@
 T integer(const Json& value, const char* name) {
   const double number = value.get<double>();
   if (!(number >= double(std::numeric_limits<T>::min()) && number < double(std::numeric_limits<T>::max())))
-    throw BadConfig(std::string("'") + name + "' is out of range");
+    throw ConfigError(std::string("'") + name + "' is out of range");
   return value.get<T>();
 }
 std::vector<std::string> strings(const Json& info, const char* name) {
@@ -42,28 +42,28 @@
   if (at == object.end()) return;
   const double number = at->is_number() ? at->get<double>() : 0.0;
   if (!(number >= 0.001 && number < 1e12))
-    throw BadConfig("'" + where + "." + name + "' is " + at->dump() + ", expected a number above 0");
+    throw ConfigError("'" + where + "." + name + "' is " + at->dump() + ", expected a number above 0");
 }
 // Checks that times of classes and the number of attempts are positive, and that class names are unique.
 void checkSettings(const Json& info) {
   std::vector<std::string> names;
   for (const Json& one : need(info, "categories")) {
     const std::string where = "settings.categories[" + std::to_string(names.size()) + "]";
-    if (!one.is_object()) throw BadConfig("'" + where + "' is not an object");
-    if (!one.contains("aim")) throw BadConfig("'" + where + ".aim' is missing");
+    if (!one.is_object()) throw ConfigError("'" + where + "' is not an object");
+    if (!one.contains("aim")) throw ConfigError("'" + where + ".aim' is missing");
     for (const char* name : {"aim", "hardLimit"}) checkPositive(one, name, where);
     names.push_back(need(one, "name").get<std::string>());
-    if (names.back().empty()) throw BadConfig("'" + where + ".name' is empty, expected a name");
+    if (names.back().empty()) throw ConfigError("'" + where + ".name' is empty, expected a name");
     if (std::ranges::count(names, names.back()) > 1)
-      throw BadConfig("'" + where + ".name' is '" + names.back() +
-                      "' a second time, expected unique class names");
+      throw ConfigError("'" + where + ".name' is '" + names.back() +
+                        "' a second time, expected unique class names");
   }
   const auto limits = info.find("limits");
   if (limits == info.end() || !limits->is_object()) return;
   checkPositive(*limits, "maxAttempts", "settings.limits");
   if (limits->contains("maxAttempts") && (*limits)["maxAttempts"].get<double>() < 1)
-    throw BadConfig("'settings.limits.maxAttempts' is " + (*limits)["maxAttempts"].dump() +
-                    ", expected 1 or more");
+    throw ConfigError("'settings.limits.maxAttempts' is " + (*limits)["maxAttempts"].dump() +
+                      ", expected 1 or more");
 }
 
 // Keys that may be absent in a reload although the running configuration has them: those that the platform
@@ -74,17 +74,18 @@
 
 const char* typeName(const Json& value) { return value.is_number() ? "number" : value.type_name(); }
 
-// Throws BadConfig if a key of `was` is absent in `next` or has another type there. `where`: the path so far.
+// Throws ConfigError if a key of `was` is absent in `next` or has another type there. `where`: the path so
+// far.
 void checkNothingMissing(const Json& was, const Json& next, const std::string& where) {
   if (!was.is_null() && !next.is_null() && std::string(typeName(was)) != typeName(next))
-    throw BadConfig("'" + where + "' is of type " + typeName(next) + ", expected " + typeName(was));
+    throw ConfigError("'" + where + "' is of type " + typeName(next) + ", expected " + typeName(was));
   if (was.is_object() && next.is_object()) {
     for (const auto& [name, value] : was.items()) {
       std::string path = where;
       if (!path.empty()) path += '.';
       path += name;
       if (std::ranges::count(kOptionalInReload, name) > 0) continue;
-      if (!next.contains(name)) throw BadConfig("'" + path + "' is missing");
+      if (!next.contains(name)) throw ConfigError("'" + path + "' is missing");
       checkNothingMissing(value, next[name], path);
     }
   } else if (was.is_array() && next.is_array() && !was.empty() && was[0].is_object()) {
@@ -103,10 +104,10 @@
   out.shards = integer<int>(need(need(info, "familyInfo"), "ranges"), "ranges");
   const Json limits = info.value("limits", Json::object());
   if (limits.contains("maxStreams"))
-    out.streams = std::max(1, integer<int>(limits["maxStreams"], "maxStreams"));
+    out.partsPerConnection = std::max(1, integer<int>(limits["maxStreams"], "maxStreams"));
   checkPositive(limits, "connectTimeout", "settings.limits");
   out.connectTimeout = Micros(limits.value("connectTimeout", 1000.0) * 1000.0);
-  out.mayRetryAfter = limits.value("retryAfter", false);
+  out.sendRetryAfter = limits.value("retryAfter", false);
   return out;
 }
 
@@ -121,20 +122,20 @@
   const char* end = text.data() + text.size();
   if (ec || colon == std::string::npos ||
       std::from_chars(text.data() + colon + 1, end, out.port).ptr != end || out.port == 0)
-    throw BadConfig("'" + text + "' is not an address and a port such as 127.0.0.1:9090");
+    throw ConfigError("'" + text + "' is not an address and a port such as 127.0.0.1:9090");
   return out;
 }
 
 LeafList readList(const Json& body, const std::vector<std::string>& zones) try {
   LeafList out;
   out.index = integer<std::int64_t>(need(body, "index"), "index");
-  out.whole = need(body, "snapshot").get<bool>();
+  out.fullSnapshot = need(body, "snapshot").get<bool>();
   const Json& endpoints = need(body, "endpoints");
-  if (!endpoints.is_array()) throw BadConfig("'endpoints' is not a list");
+  if (!endpoints.is_array()) throw ConfigError("'endpoints' is not a list");
   for (const Json& one : endpoints) {
     LeafEntry entry;
     entry.name = need(one, "name").get<std::string>();
-    if (entry.name.empty()) throw BadConfig("a leaf server in 'endpoints' has an empty 'name'");
+    if (entry.name.empty()) throw ConfigError("a leaf server in 'endpoints' has an empty 'name'");
     const std::string status = need(one, "status").get<std::string>();
     if (status == "Ready")
       entry.state = ServerState::serving;
@@ -143,7 +144,7 @@
     else if (status == "Gone")
       entry.state = ServerState::gone;
     else
-      throw BadConfig("unknown status '" + status + "', expected Ready, Terminating or Gone");
+      throw ConfigError("unknown status '" + status + "', expected Ready, Terminating or Gone");
     // Of a removed leaf server the other fields may be absent.
     if (entry.state != ServerState::gone || one.contains("address"))
       entry.address = readAddress(need(one, "address").get<std::string>());
@@ -151,12 +152,12 @@
     entry.zone = zone == zones.end() ? int(zones.size()) : int(zone - zones.begin());
     if (entry.state != ServerState::gone || one.contains("group"))
       entry.cell = integer<int>(need(one, "group"), "group");
-    if (one.contains("since_ms")) entry.sinceMs = integer<std::int64_t>(one["since_ms"], "since_ms");
+    if (one.contains("since_ms")) entry.startedUnixMs = integer<std::int64_t>(one["since_ms"], "since_ms");
     out.entries.push_back(std::move(entry));
   }
   return out;
 } catch (const Json::exception& problem) {
-  throw BadConfig(problem.what());
+  throw ConfigError(problem.what());
 }
 
 Config readConfig(const Json& body) try {
@@ -168,34 +169,34 @@
   const std::string seed = need(body, "seed").get<std::string>();
   const char* end = seed.data() + seed.size();
   if (seed.empty() || std::from_chars(seed.data(), end, out.seed, 16).ptr != end)
-    throw BadConfig("'seed' is not a hexadecimal number");
+    throw ConfigError("'seed' is not a hexadecimal number");
   out.grpcFile = body.value("grpc", "");
   out.plansFile = body.value("plans", "");
   if (body.contains("limits")) out.sockets = body["limits"].value("sockets", out.sockets);
   const Json& settings = need(body, "settings");
-  if (!settings.is_object()) throw BadConfig("'settings' is not an object");
+  if (!settings.is_object()) throw ConfigError("'settings' is not an object");
   checkSettings(settings);
   out.settings = wire::readSettings(settings);
   if (out.settings.classes.empty())
-    throw BadConfig("'settings.categories' is empty, expected one class or more");
+    throw ConfigError("'settings.categories' is empty, expected one class or more");
   out.host = readHost(settings);
   for (const ClassSettings& cls : out.settings.classes) {
-    out.host.classNeed.push_back(cls.need);
-    out.host.classFloor.push_back(cls.floor);
+    out.host.classRequiredShare.push_back(cls.requiredShare);
+    out.host.classMinimumShare.push_back(cls.minimumShare);
   }
   if (out.host.shards <= 0)
-    throw BadConfig("'settings.familyInfo.ranges' is out of range, expected 1 shard or more");
+    throw ConfigError("'settings.familyInfo.ranges' is out of range, expected 1 shard or more");
   // The last known list only saves time: if it is malformed, the full list is requested from discovery.
   if (body.contains("known") && !body["known"].is_null()) try {
       out.restoredList = readList(body["known"], out.host.zones);
-    } catch (const BadConfig& problem) {
+    } catch (const ConfigError& problem) {
       logLine("'known' is malformed and not used: %s", problem.what());
     }
   return out;
 } catch (const Json::exception& problem) {
-  throw BadConfig(problem.what());
+  throw ConfigError(problem.what());
 } catch (const wire::Malformed& problem) {
-  throw BadConfig(problem.what());
+  throw ConfigError(problem.what());
 }
 
 Config readReload(const std::string& path, const Config& running) {
@@ -206,10 +207,10 @@
 
 Config readConfigFile(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw BadConfig("cannot read '" + path + "'");
+  if (!file) throw ConfigError("cannot read '" + path + "'");
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   const Json body = Json::parse(text, nullptr, false);
-  if (!body.is_object()) throw BadConfig("'" + path + "' is not a JSON object");
+  if (!body.is_object()) throw ConfigError("'" + path + "' is not a JSON object");
   Config out = readConfig(body);
   out.source = std::make_shared<const Json>(body);
   return out;
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -16,15 +16,15 @@
 namespace cometdeal::net {
 
 // The configuration, or a part of it, is malformed; the text names the place and what was expected.
-struct BadConfig : std::runtime_error {
+struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// HOST:PORT with an IP address as the host and a port above 0. Throws BadConfig.
+// HOST:PORT with an IP address as the host and a port above 0. Throws ConfigError.
 Address readAddress(const std::string& text);
 
 // Reads a list of leaf servers as discovery sends it. A zone that is not in `zones` gets the index after the
-// last one. Throws BadConfig if any entry is malformed.
+// last one. Throws ConfigError if any entry is malformed.
 LeafList readList(const nlohmann::json& body, const std::vector<std::string>& zones);
 
 struct Config {
@@ -40,10 +40,10 @@
   std::string plansFile;                         // path of the plans for queries in phases; empty: no plans
   std::shared_ptr<const nlohmann::json> source;  // the file's content, if read from a file
 };
-Config readConfig(const nlohmann::json& body);   // throws BadConfig
-Config readConfigFile(const std::string& path);  // throws BadConfig
-// Reads the configuration that is to replace `running`. Throws BadConfig also if a key of `running` is absent
-// that is not optional: a truncated file, or one for another version, must not be applied in part.
+Config readConfig(const nlohmann::json& body);   // throws ConfigError
+Config readConfigFile(const std::string& path);  // throws ConfigError
+// Reads the configuration that is to replace `running`. Throws ConfigError also if a key of `running` is
+// absent that is not optional: a truncated file, or one for another version, must not be applied in part.
 Config readReload(const std::string& path, const Config& running);
 
 }  // namespace cometdeal::net
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -17,7 +17,7 @@
   return text.substr(0, kMaxShownBytes) + (text.size() > kMaxShownBytes ? "..." : "");
 }
 
-void StrictJson::fail(const std::string& what) const { throw BadConfig(path_ + ": " + what); }
+void StrictJson::fail(const std::string& what) const { throw ConfigError(path_ + ": " + what); }
 
 std::optional<StrictJson> StrictJson::find(const std::string& key) {
   if (!node_->is_object()) fail("expected an object, found " + excerpt());
@@ -27,13 +27,13 @@
   return StrictJson(path_ + "." + key, *at);
 }
 
-StrictJson StrictJson::need(const std::string& key) {
+StrictJson StrictJson::require(const std::string& key) {
   auto found = find(key);
   if (!found) fail("'" + key + "' is missing");
   return *found;
 }
 
-void StrictJson::done() const {
+void StrictJson::rejectUnknownKeys() const {
   for (const auto& [key, value] : node_->items()) {
     if (requested_.contains(key)) continue;
     std::string known;
--- a/src/config/json.hpp
+++ b/src/config/json.hpp
@@ -19,11 +19,11 @@
   // `node` must outlive this object.
   StrictJson(std::string path, const nlohmann::json& node) : path_(std::move(path)), node_(&node) {}
 
-  // All methods throw BadConfig. The first three read an object: done() rejects each key that was not
-  // requested by find() or need() before.
+  // All methods throw ConfigError. The first three read an object: rejectUnknownKeys() rejects each key that
+  // was not requested by find() or require() before.
   std::optional<StrictJson> find(const std::string& key);
-  StrictJson need(const std::string& key);
-  void done() const;
+  StrictJson require(const std::string& key);
+  void rejectUnknownKeys() const;
   std::vector<StrictJson> list() const;
   std::string string() const;
   std::int64_t integer(std::int64_t minimum, std::int64_t maximum) const;
--- a/src/config/plans.cpp
+++ b/src/config/plans.cpp
@@ -11,23 +11,23 @@
 QueryPlans read(StrictYaml root, const std::vector<std::string>& classNames,
                 const std::vector<ClassSettings>& classes) {
   QueryPlans out;
-  out.ofClass.resize(classNames.size());
-  if (auto allowed = root.find("queries_may_plan")) out.inQueries = allowed->boolean();
+  out.byClass.resize(classNames.size());
+  if (auto allowed = root.find("queries_may_plan")) out.allowInQuery = allowed->boolean();
   if (auto list = root.find("classes"))
     for (StrictYaml one : list->list()) {
-      const StrictYaml classNode = one.need("class");
+      const StrictYaml classNode = one.require("class");
       const std::string name = classNode.string();
       const auto at = std::ranges::find(classNames, name);
       if (at == classNames.end()) classNode.fail("unknown class '" + name + "'");
       const std::size_t cls = std::size_t(at - classNames.begin());
-      if (out.ofClass[cls]) classNode.fail("the class '" + name + "' is listed twice");
-      if (classes[cls].followUp > 0)
+      if (out.byClass[cls]) classNode.fail("the class '" + name + "' is listed twice");
+      if (classes[cls].secondStepParts > 0)
         classNode.fail("the class '" + name + "' has a second step of its own in the settings");
-      out.ofClass[cls] = std::make_shared<const phases::Plan>(
-          phases::readPlan(one.need("phases"), classes[cls].need, classes[cls].floor));
-      one.done();
+      out.byClass[cls] = std::make_shared<const phases::Plan>(
+          phases::readPlan(one.require("phases"), classes[cls].requiredShare, classes[cls].minimumShare));
+      one.rejectUnknownKeys();
     }
-  root.done();
+  root.rejectUnknownKeys();
   return out;
 }
 
@@ -35,12 +35,12 @@
 
 QueryPlans readPlans(const std::string& text, const std::string& name,
                      const std::vector<std::string>& classNames, const std::vector<ClassSettings>& classes) {
-  return read(StrictYaml::text(text, name), classNames, classes);
+  return read(StrictYaml::fromText(text, name), classNames, classes);
 }
 
 QueryPlans readPlansFile(const std::string& path, const std::vector<std::string>& classNames,
                          const std::vector<ClassSettings>& classes) {
-  return read(StrictYaml::file(path), classNames, classes);
+  return read(StrictYaml::fromFile(path), classNames, classes);
 }
 
 }  // namespace cometdeal::net
--- a/src/config/plans.hpp
+++ b/src/config/plans.hpp
@@ -9,7 +9,7 @@
 
 namespace cometdeal::net {
 
-// `name` stands for the file in errors. Both throw BadConfig with file, line and column.
+// `name` stands for the file in errors. Both throw ConfigError with file, line and column.
 QueryPlans readPlans(const std::string& text, const std::string& name,
                      const std::vector<std::string>& classNames, const std::vector<ClassSettings>& classes);
 QueryPlans readPlansFile(const std::string& path, const std::vector<std::string>& classNames,
--- a/src/config/yaml.cpp
+++ b/src/config/yaml.cpp
@@ -30,25 +30,25 @@
   std::set<std::string> seen;
   for (const auto& entry : node_)
     if (!entry.first.IsScalar() || !seen.insert(entry.first.Scalar()).second)
-      throw BadConfig(location(name_, entry.first.Mark()) + ": " + (path_.empty() ? "" : path_ + ": ") +
-                      "the key '" + (entry.first.IsScalar() ? entry.first.Scalar() : std::string("?")) +
-                      "' stands twice or is not a scalar");
+      throw ConfigError(location(name_, entry.first.Mark()) + ": " + (path_.empty() ? "" : path_ + ": ") +
+                        "the key '" + (entry.first.IsScalar() ? entry.first.Scalar() : std::string("?")) +
+                        "' stands twice or is not a scalar");
 }
 
-StrictYaml StrictYaml::text(const std::string& text, const std::string& name) {
+StrictYaml StrictYaml::fromText(const std::string& text, const std::string& name) {
   try {
     const std::vector<YAML::Node> all = YAML::LoadAll(text);
-    if (all.size() > 1) throw BadConfig(name + ": more than one document");
+    if (all.size() > 1) throw ConfigError(name + ": more than one document");
     return {name, "", all.empty() ? YAML::Node() : all.front()};
   } catch (const YAML::Exception& problem) {
-    throw BadConfig(location(name, problem.mark) + ": no YAML: " + problem.msg);
+    throw ConfigError(location(name, problem.mark) + ": no YAML: " + problem.msg);
   }
 }
 
-StrictYaml StrictYaml::file(const std::string& path) {
+StrictYaml StrictYaml::fromFile(const std::string& path) {
   std::ifstream in(path);
-  if (!in) throw BadConfig("cannot read '" + path + "'");
-  return text(std::string((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>()), path);
+  if (!in) throw ConfigError("cannot read '" + path + "'");
+  return fromText(std::string((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>()), path);
 }
 
 std::string StrictYaml::excerpt() const {
@@ -58,7 +58,7 @@
 }
 
 void StrictYaml::fail(const std::string& what) const {
-  throw BadConfig(location(name_, node_.Mark()) + ": " + (path_.empty() ? "" : path_ + ": ") + what);
+  throw ConfigError(location(name_, node_.Mark()) + ": " + (path_.empty() ? "" : path_ + ": ") + what);
 }
 
 std::optional<StrictYaml> StrictYaml::find(const std::string& key) {
@@ -69,21 +69,21 @@
   return StrictYaml(name_, path_.empty() ? key : path_ + "." + key, found);
 }
 
-StrictYaml StrictYaml::need(const std::string& key) {
+StrictYaml StrictYaml::require(const std::string& key) {
   auto found = find(key);
   if (!found) fail("'" + key + "' is missing");
   return *found;
 }
 
-void StrictYaml::done() const {
+void StrictYaml::rejectUnknownKeys() const {
   std::optional<YAML::Node> unknown;
   for (const auto& entry : node_)
     if (!unknown && !requested_.contains(entry.first.Scalar())) unknown = entry.first;
   if (!unknown) return;
   std::string known;
   for (const std::string& one : requested_) known.append(known.empty() ? "" : ", ").append(one);
-  throw BadConfig(location(name_, unknown->Mark()) + ": " + (path_.empty() ? "" : path_ + ": ") +
-                  "unknown key '" + unknown->Scalar() + "'; known here: " + known);
+  throw ConfigError(location(name_, unknown->Mark()) + ": " + (path_.empty() ? "" : path_ + ": ") +
+                    "unknown key '" + unknown->Scalar() + "'; known here: " + known);
 }
 
 std::vector<StrictYaml> StrictYaml::list() const {
@@ -147,7 +147,7 @@
 Address StrictYaml::address() const {
   try {
     return readAddress(string());
-  } catch (const BadConfig&) {
+  } catch (const ConfigError&) {
     fail("expected an address and a port such as 127.0.0.1:9090, found " + excerpt());
   }
 }
--- a/src/config/yaml.hpp
+++ b/src/config/yaml.hpp
@@ -16,16 +16,17 @@
 
 namespace cometdeal::net {
 
-// One YAML node and its path from the root. All methods throw BadConfig.
+// One YAML node and its path from the root. All methods throw ConfigError.
 class StrictYaml {
  public:
-  static StrictYaml file(const std::string& path);
-  static StrictYaml text(const std::string& text, const std::string& name);
+  static StrictYaml fromFile(const std::string& path);
+  static StrictYaml fromText(const std::string& text, const std::string& name);
 
-  // These read a mapping: done() rejects each key that was not requested by find() or need() before.
+  // These read a mapping: rejectUnknownKeys() rejects each key that was not requested by find() or require()
+  // before.
   std::optional<StrictYaml> find(const std::string& key);
-  StrictYaml need(const std::string& key);
-  void done() const;
+  StrictYaml require(const std::string& key);
+  void rejectUnknownKeys() const;
 
   std::vector<StrictYaml> list() const;
   std::string string() const;
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -5,7 +5,7 @@
 namespace cometdeal::net {
 
 void Counters::print(std::FILE* to) const {
-  static constexpr std::array<const char*, static_cast<std::size_t>(Count::number)> names = {
+  static constexpr std::array<const char*, static_cast<std::size_t>(Counter::number)> names = {
       "client_connections",
       "client_connections_shed",
       "requests",
--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -10,13 +10,13 @@
 
 namespace cometdeal::net {
 
-enum class Count {
+enum class Counter {
   clientConnections,      // accepted
   clientConnectionsShed,  // closed or refused to stay within the limit on client connections
   requests,               // from clients, including bad ones
   badRequests,            // malformed or not allowed
-  queriesTaken,           // submitted, including those in queriesFull
-  queriesFull,            // rejected because maxOpen was reached
+  queriesTaken,           // submitted, including those in queriesRefusedFull
+  queriesRefusedFull,     // rejected because maxOpen was reached
   answeredWhole,          // served with a complete answer
   answeredPartly,         // served with a partial answer
   refused,                // queries refused by the decision module
@@ -40,13 +40,13 @@
   acceptFailures,
   reloads,
   reloadsFailed,
-  turns,           // calls of the decision module
-  firstsEarly,     // first phases ended before all parts had answered, to leave time for the second
-  secondsWhole,    // second phases begun with all the parts that the rule picks
-  secondsCut,      // second phases begun with fewer parts, for lack of time
-  secondsSkipped,  // second phases not begun
-  secondsFailed,   // second phases that failed
-  number,          // number of counters
+  turns,                // calls of the decision module
+  phasesFirstEarly,     // first phases ended before all parts had answered, to leave time for the second
+  phasesSecondWhole,    // second phases begun with all the parts that the rule picks
+  phasesSecondCut,      // second phases begun with fewer parts, for lack of time
+  phasesSecondSkipped,  // second phases not begun
+  phasesSecondFailed,   // second phases that failed
+  number,               // number of counters
 };
 
 // Ended requests of one class: served, refused and failed.
@@ -56,18 +56,18 @@
 
 class Counters {
  public:
-  void add(Count counter) { ++counts_[static_cast<std::size_t>(counter)]; }
+  void add(Counter counter) { ++counts_[static_cast<std::size_t>(counter)]; }
   void add(Outcome outcome) { ++outcomes_[static_cast<std::size_t>(outcome)]; }
-  std::uint64_t of(Count counter) const { return counts_[static_cast<std::size_t>(counter)]; }
-  std::uint64_t of(Outcome outcome) const { return outcomes_[static_cast<std::size_t>(outcome)]; }
+  std::uint64_t value(Counter counter) const { return counts_[static_cast<std::size_t>(counter)]; }
+  std::uint64_t value(Outcome outcome) const { return outcomes_[static_cast<std::size_t>(outcome)]; }
   // Creates the counts of a class on first use. They remain when the settings no longer contain the class.
-  ClassCounts& ofClass(const std::string& name) { return classes_[name]; }
+  ClassCounts& forClass(const std::string& name) { return classes_[name]; }
   const std::map<std::string, ClassCounts>& classes() const { return classes_; }
   // Prints one line `counter NAME VALUE` for each counter.
   void print(std::FILE* to) const;
 
  private:
-  std::array<std::uint64_t, static_cast<std::size_t>(Count::number)> counts_{};
+  std::array<std::uint64_t, static_cast<std::size_t>(Counter::number)> counts_{};
   std::array<std::uint64_t, static_cast<std::size_t>(Outcome::skipped) + 1> outcomes_{};
   std::map<std::string, ClassCounts> classes_;
 };
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -11,21 +11,21 @@
 
 class Deadlines {
  public:
-  using Key = Agenda<std::function<void()>>::Key;
+  using Key = TimerQueue<std::function<void()>>::Key;
 
   Key add(Micros when, std::function<void()> callback) {
-    const std::optional<Micros> earliest = timers_.next();
+    const std::optional<Micros> earliest = timers_.nextDue();
     const Key key = timers_.add(when, std::move(callback));
     if ((!earliest || when < *earliest) && onEarlier) onEarlier();
     return key;
   }
-  void drop(std::optional<Key>& key) { timers_.drop(key); }
-  std::optional<Micros> next() const { return timers_.next(); }
+  void cancel(std::optional<Key>& key) { timers_.cancel(key); }
+  std::optional<Micros> nextDue() const { return timers_.nextDue(); }
   // Runs the callbacks that are due and returns their number. Entries added meanwhile wait for the next call.
-  int sweep(Micros now) {
-    const std::uint64_t mark = timers_.mark();
+  int runDue(Micros now) {
+    const std::uint64_t mark = timers_.lastSequence();
     int ran = 0;
-    for (; const auto callback = timers_.takeDue(now, mark); ++ran) (*callback)();
+    for (; const auto callback = timers_.popDue(now, mark); ++ran) (*callback)();
     return ran;
   }
   std::size_t size() const { return timers_.size(); }
@@ -33,7 +33,7 @@
   std::function<void()> onEarlier;  // called when a new entry is due before all others
 
  private:
-  Agenda<std::function<void()>> timers_;
+  TimerQueue<std::function<void()>> timers_;
 };
 
 }  // namespace cometdeal::net
--- a/src/core/fault_injection.hpp
+++ b/src/core/fault_injection.hpp
@@ -1,10 +1,11 @@
 // Faults that the model checker can inject into the state machines, to show that it would find them. In the
-// serving programs PLANTED is a compile-time false; only the checker's copy of the code can enable a fault.
+// serving programs FAULT_INJECTED is a compile-time false; only the checker's copy of the code can enable a
+// fault.
 #pragma once
 
 namespace cometdeal::net {
 
-enum class Plant {
+enum class InjectedFault {
   none,
   // Parts queued on a connection are not withdrawn at the final answer.
   sendAfterAnswer,
@@ -36,11 +37,11 @@
   lookAfterEnd,
 };
 
-#ifdef COMETDEAL_PLANTS
-extern Plant planted;  // to be set before the state machines run
-#define PLANTED(name) (::cometdeal::net::planted == ::cometdeal::net::Plant::name)
+#ifdef COMETDEAL_FAULT_INJECTION
+extern InjectedFault injectedFault;  // to be set before the state machines run
+#define FAULT_INJECTED(name) (::cometdeal::net::injectedFault == ::cometdeal::net::InjectedFault::name)
 #else
-#define PLANTED(name) false
+#define FAULT_INJECTED(name) false
 #endif
 
 }  // namespace cometdeal::net
--- a/src/core/interfaces.hpp
+++ b/src/core/interfaces.hpp
@@ -27,7 +27,7 @@
   int cls = 0;                                // index of its class
   std::optional<std::string> key;             // what the query is about, see QueryArrived
   std::optional<std::string> idempotencyKey;  // in keyed classes
-  Micros until = 0;                           // the client's deadline
+  Micros deadline = 0;                        // the client's deadline
   bool repeated = false;                      // the client has sent this query before
   std::vector<QueryPart> parts;
   std::string text;                    // what is sent to the leaf servers
@@ -39,12 +39,13 @@
 struct Row {  // the answer to one part
   int shard = 0;
   std::string value;
-  std::shared_ptr<FlowReader> reply;  // in place of `value` if the answer is streamed; may be incomplete yet
+  std::shared_ptr<MessageReader>
+      reply;  // in place of `value` if the answer is streamed; may be incomplete yet
 };
 struct FinalAnswer {
   enum class Kind { served, refused, failed };
   Kind kind = Kind::failed;
-  bool whole = false;  // the answer is complete
+  bool complete = false;  // the answer is complete
   std::vector<Row> rows;
   std::optional<Micros> retryAfter;                // when refused
   bool mayHaveRun = false;                         // some attempt may have run on a leaf server
@@ -59,11 +60,11 @@
   std::string id;  // of the part
   int shard = 0;
   // Appended to the comma-separated list that is sent with the part, after the time; begins with a comma.
-  std::string list;
+  std::string extraFields;
   std::shared_ptr<const std::string> text;
-  Micros until = 0;            // when the mixer stops waiting for the answer
+  Micros deadline = 0;         // when the mixer stops waiting for the answer
   Micros startBy = INT64_MAX;  // sending must begin before then: leaf servers drop no repeats afterwards
-  int number = 0;              // of this attempt among those of the part, from 0
+  int attemptNumber = 0;       // of this attempt among those of the part, from 0
   std::shared_ptr<Exchange> exchange;
 };
 struct LeafAnswer {
@@ -72,22 +73,23 @@
   long double score = 0;            // represents every 64-bit integer exactly
   std::optional<LoadReport> load;
   std::string value;
-  std::shared_ptr<FlowReader> reply;  // in place of `value` if the answer is streamed; may be incomplete yet
+  std::shared_ptr<MessageReader>
+      reply;  // in place of `value` if the answer is streamed; may be incomplete yet
 };
 
 // Sends parts to leaf servers and reports how the attempts end.
 class LeafSide {
  public:
   // Reports the end of an attempt, at most once for each; possibly from within a call of this interface.
-  using Ended = std::function<void(Handle attempt, Outcome outcome, LeafAnswer answer)>;
-  Ended onEnded;
+  using AttemptEndedCallback = std::function<void(Handle attempt, Outcome outcome, LeafAnswer answer)>;
+  AttemptEndedCallback onAttemptEnded;
 
   virtual ~LeafSide() = default;
   virtual void update(const LeafEntry& entry) = 0;                   // adds or changes a server
   virtual void keepOnly(const std::vector<LeafEntry>& entries) = 0;  // removes all other servers
   virtual void send(const std::string& server, std::vector<Call> calls) = 0;
   // The attempt has been abandoned: its outcome is no longer needed and must not be reported.
-  virtual void giveUp(Handle attempt) = 0;
+  virtual void abandon(Handle attempt) = 0;
   // The query has its final answer: if no byte of the attempt can have been sent yet, it ends as cancelled.
   virtual void withdraw(Handle attempt) = 0;
   virtual void forget(const std::string& id) = 0;         // the part gets no further attempts
--- a/src/core/loop.hpp
+++ b/src/core/loop.hpp
@@ -25,13 +25,13 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(t).count();
   }
   // Schedules a turn, followed by the due deadlines, unless one is scheduled already.
-  void wantTurn() {
+  void requestTurn() {
     if (turnScheduled_) return;
     turnScheduled_ = true;
     boost::asio::post(strand, [this] {
       turnScheduled_ = false;
       if (turn) turn();
-      deadlines.sweep(now());
+      deadlines.runDue(now());
       armTimer();
     });
   }
@@ -43,11 +43,11 @@
 
  private:
   void armTimer() {
-    const auto next = deadlines.next();
+    const auto next = deadlines.nextDue();
     if (!next) return;
     timer_.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(*next)));
     timer_.async_wait([this](const boost::system::error_code& ec) {
-      if (!ec) wantTurn();
+      if (!ec) requestTurn();
     });
   }
   boost::asio::steady_timer timer_;
@@ -61,7 +61,7 @@
   // Sets, moves or (nullopt) cancels the alarm.
   void set(std::optional<Micros> when) {
     if (when == when_) return;
-    loop_.deadlines.drop(key_);
+    loop_.deadlines.cancel(key_);
     when_ = when;
     if (!when) return;
     key_ = loop_.deadlines.add(*when, [this] {
--- a/src/core/message_stream.hpp
+++ b/src/core/message_stream.hpp
@@ -2,9 +2,9 @@
 // reader, or several readers while everything is retained. No call blocks. Writer and readers run on the
 // loop's strand. No I/O, and independent of any protocol.
 //
-//   open -> ended (complete, with trailers) or broken (the writer failed); both possibly before all is read
+//   open -> ended (complete, with trailers) or failed (the writer failed); both possibly before all is read
 //
-// The writer bounds the buffer: it checks held() and pauses its own source; onRoom reports that space is
+// The writer bounds the buffer: it checks buffered() and pauses its own source; onSpace reports that space is
 // free.
 #pragma once
 
@@ -22,18 +22,18 @@
 
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-class Flow {
+class MessageStream {
  public:
-  enum class State : std::uint8_t { open, ended, broken };
+  enum class State : std::uint8_t { open, ended, failed };
 
   // `retained`: nothing is discarded until release(), so that the message can be read again from the
   // beginning.
-  explicit Flow(bool retained) : retained_(retained) {}
-  Flow(const Flow&) = delete;
-  Flow& operator=(const Flow&) = delete;
+  explicit MessageStream(bool retained) : retained_(retained) {}
+  MessageStream(const MessageStream&) = delete;
+  MessageStream& operator=(const MessageStream&) = delete;
 
   // ---- For the writer
-  Fields head;  // header fields; set before the first push()
+  Fields headers;  // header fields; set before the first push()
   void push(std::string_view bytes) {
     if (state_ != State::open || cancelled_) return;
     bytes_.append(bytes);
@@ -47,27 +47,29 @@
   }
   void fail() {
     if (state_ != State::open) return;
-    state_ = State::broken;
+    state_ = State::failed;
     notifyListeners();
   }
-  std::size_t held() const { return bytes_.size() - discarded_; }  // bytes in the buffer
-  std::function<void()> onRoom;                                    // some bytes were discarded
-  std::function<void()> onStopped;  // there is no reader any more; further bytes are ignored
+  std::size_t buffered() const { return bytes_.size() - discarded_; }  // bytes in the buffer
+  std::function<void()> onSpace;                                       // some bytes were discarded
+  std::function<void()> onCancelled;  // there is no reader any more; further bytes are ignored
 
   // ---- For readers. Offsets count from the first byte ever pushed.
   State state() const { return state_; }
-  const Fields& tail() const { return trailers_; }
-  std::uint64_t length() const { return startOffset_ + held(); }
-  std::uint64_t begin() const { return startOffset_; }  // offset of the first byte that is still buffered
-  bool whole() const { return startOffset_ == 0; }      // nothing discarded: can be read from the beginning
+  const Fields& trailers() const { return trailers_; }
+  std::uint64_t endOffset() const { return startOffset_ + buffered(); }
+  std::uint64_t startOffset() const {
+    return startOffset_;
+  }                                                      // offset of the first byte that is still buffered
+  bool replayable() const { return startOffset_ == 0; }  // nothing discarded: can be read from the beginning
   // The buffered bytes from `offset` on; empty if none have arrived yet or that offset was discarded.
-  std::string_view from(std::uint64_t offset) const {
-    if (offset < startOffset_ || offset >= length()) return {};
+  std::string_view readFrom(std::uint64_t offset) const {
+    if (offset < startOffset_ || offset >= endOffset()) return {};
     return std::string_view(bytes_).substr(discarded_ + std::size_t(offset - startOffset_));
   }
   // Marks the bytes before `offset` as read and, unless the message is retained, discards them.
-  void taken(std::uint64_t offset) {
-    consumedOffset_ = std::max(consumedOffset_, std::min(offset, length()));
+  void consumeTo(std::uint64_t offset) {
+    consumedOffset_ = std::max(consumedOffset_, std::min(offset, endOffset()));
     if (!retained_) discardConsumed();
   }
   // Ends the retention and discards what has been read.
@@ -75,22 +77,22 @@
     retained_ = false;
     discardConsumed();
   }
-  bool kept() const { return retained_; }
+  bool retained() const { return retained_; }
   // No reader is left: discards the buffer and everything that still arrives.
-  void stop() {
+  void cancel() {
     if (std::exchange(cancelled_, true)) return;
     bytes_.clear();
     discarded_ = 0;
-    if (state_ == State::open && onStopped) onStopped();
+    if (state_ == State::open && onCancelled) onCancelled();
   }
-  bool stopped() const { return cancelled_; }
+  bool cancelled() const { return cancelled_; }
   // Registers a callback for each new piece and for the end. It runs inside the writer's call, so it should
-  // only record the news and process it later. Returns the key for unlisten().
-  int listen(std::function<void()> callback) {
+  // only record the news and process it later. Returns the key for unsubscribe().
+  int subscribe(std::function<void()> callback) {
     listeners_.emplace(++lastListener_, std::move(callback));
     return lastListener_;
   }
-  void unlisten(int key) { listeners_.erase(key); }
+  void unsubscribe(int key) { listeners_.erase(key); }
 
  private:
   void notifyListeners() {
@@ -105,7 +107,7 @@
       bytes_.erase(0, discarded_);
       discarded_ = 0;
     }
-    if (onRoom) onRoom();
+    if (onSpace) onSpace();
   }
 
   State state_ = State::open;
@@ -119,18 +121,19 @@
   int lastListener_ = 0;
 };
 
-// A reader's share of the message. When the last owner releases it, the writer is notified through onStopped.
-class FlowReader {
+// A reader's share of the message. When the last owner releases it, the writer is notified through
+// onCancelled.
+class MessageReader {
  public:
-  explicit FlowReader(std::shared_ptr<Flow> flow) : flow_(std::move(flow)) {}
-  FlowReader(const FlowReader&) = delete;
-  FlowReader& operator=(const FlowReader&) = delete;
-  ~FlowReader() { flow_->stop(); }
-  Flow& operator*() const { return *flow_; }
-  Flow* operator->() const { return flow_.get(); }
+  explicit MessageReader(std::shared_ptr<MessageStream> stream) : stream_(std::move(stream)) {}
+  MessageReader(const MessageReader&) = delete;
+  MessageReader& operator=(const MessageReader&) = delete;
+  ~MessageReader() { stream_->cancel(); }
+  MessageStream& operator*() const { return *stream_; }
+  MessageStream* operator->() const { return stream_.get(); }
 
  private:
-  std::shared_ptr<Flow> flow_;
+  std::shared_ptr<MessageStream> stream_;
 };
 
 // A query whose request and answer are streamed. Shared by its front, its attempts and the leaf side that
@@ -138,12 +141,12 @@
 // decided at that moment, and no further attempt is made.
 struct Exchange {
   explicit Exchange(bool retained) : request(retained) {}
-  Flow request;
-  bool once = false;  // an attempt that may have run is never repeated, whatever the class
+  MessageStream request;
+  bool atMostOnce = false;  // an attempt that may have run is never repeated, whatever the class
   // true: the answer is forwarded as it arrives; false: an attempt succeeds only when its answer is complete.
   bool streamed = false;
   // The latest answer of an attempt that did not succeed, for a front that has no better answer to return.
-  std::shared_ptr<FlowReader> lastFailure;
+  std::shared_ptr<MessageReader> lastFailure;
 };
 
 }  // namespace cometdeal::net
--- a/src/core/mixer.cpp
+++ b/src/core/mixer.cpp
@@ -18,7 +18,7 @@
     : loop_(loop),
       counters_(counters),
       leaves_(leaves),
-      config_(std::make_shared<const Ledger::Rules>(Ledger::Rules{settings, host})),
+      config_(std::make_shared<const QueryTracker::Config>(QueryTracker::Config{settings, host})),
       tracker_(config_, &counters),
       alarm_(loop,
              [this] {
@@ -26,57 +26,59 @@
                // first, so that it can end queries before a backstop does.
                tracker_.push(TimerFired{});
                turn();
-               trackerNow().sweep();
+               trackerNow().runDueTimers();
                processCommands();
              }),
       module_(settings, seed) {
-  for (const std::string& name : host.classNames) counters_.ofClass(name);
+  for (const std::string& name : host.classNames) counters_.forClass(name);
   const auto unixNow = std::chrono::system_clock::now().time_since_epoch();
   // Read only once: the module recognizes a server's restart by a changed start time, so a given Unix time
   // must always be converted to the same result.
   unixOffset_ = std::chrono::duration_cast<std::chrono::microseconds>(unixNow).count() - loop.now();
-  leaves_.onEnded = [this](Handle attempt, Outcome outcome, LeafAnswer answer) {
-    trackerNow().ended(attempt, outcome, std::move(answer));
+  leaves_.onAttemptEnded = [this](Handle attempt, Outcome outcome, LeafAnswer answer) {
+    trackerNow().attemptEnded(attempt, outcome, std::move(answer));
     processCommands();
   };
   loop_.turn = [this] { turn(); };
 }
 
-Ledger& Mixer::trackerNow() {
-  tracker_.at(loop_.now());
+QueryTracker& Mixer::trackerNow() {
+  tracker_.setNow(loop_.now());
   return tracker_;
 }
 
 void Mixer::processCommands() {
   if (executing_) return;  // called from within a command: the running loop executes what it caused
   executing_ = true;
-  carryOut(
+  executeCommands(
       tracker_, leaves_,
       [this](Handle query, const FinalAnswer& answer) {
-        const auto it = callbacks_.find(number(query));
+        const auto it = callbacks_.find(toNumber(query));
         if (it == callbacks_.end()) return;
-        const Answered callback = std::move(it->second);
+        const AnswerCallback callback = std::move(it->second);
         callbacks_.erase(it);
         callback(answer);
       },
       [](const char* what, const std::string& id) { logLine("defect: %s: %s", what, id.c_str()); });
   executing_ = false;
-  alarm_.set(tracker_.next());
-  if (tracker_.hasEvents()) loop_.wantTurn();
+  alarm_.set(tracker_.nextTimer());
+  if (tracker_.hasEvents()) loop_.requestTurn();
 }
 
-void Mixer::retune(const Settings& settings, const HostSettings& host, int kept) {
-  const auto inUse = [&](int cls) { return cls < kept || tracker_.holds(cls); };
-  Retune next = net::retune(config_->settings, config_->host, settings, host, inUse, loop_.now());
-  config_ = std::make_shared<const Ledger::Rules>(Ledger::Rules{next.settings, std::move(next.host)});
-  trackerNow().retune(config_);
-  for (const std::string& name : config_->host.classNames) counters_.ofClass(name);
-  tracker_.push(Retuned{std::move(next.settings), std::move(next.from)});
+void Mixer::reconfigure(const Settings& settings, const HostSettings& host, int kept) {
+  const auto inUse = [&](int cls) { return cls < kept || tracker_.usesClass(cls); };
+  SettingsChange next =
+      net::planSettingsChange(config_->settings, config_->host, settings, host, inUse, loop_.now());
+  config_ =
+      std::make_shared<const QueryTracker::Config>(QueryTracker::Config{next.settings, std::move(next.host)});
+  trackerNow().reconfigure(config_);
+  for (const std::string& name : config_->host.classNames) counters_.forClass(name);
+  tracker_.push(SettingsChanged{std::move(next.settings), std::move(next.inheritFrom)});
   processCommands();
 }
 
-void Mixer::list(const LeafList& list, ListKind kind) {
-  ListArrived event;
+void Mixer::updateLeafList(const LeafList& list, ListKind kind) {
+  ServerListArrived event;
   event.kind = kind;
   if (kind != ListKind::changes) leaves_.keepOnly(list.entries);
   for (const LeafEntry& entry : list.entries) {
@@ -86,7 +88,7 @@
     e.zone = entry.zone;
     e.cell = entry.cell;
     e.state = entry.state;
-    if (entry.sinceMs != 0) e.started = Micros(entry.sinceMs) * 1000 - unixOffset_;
+    if (entry.startedUnixMs != 0) e.started = Micros(entry.startedUnixMs) * 1000 - unixOffset_;
     event.entries.push_back(std::move(e));
   }
   hasLeafList_ = hasLeafList_ || !list.entries.empty();
@@ -94,38 +96,38 @@
   processCommands();
 }
 
-bool Mixer::submit(NewQuery query, Answered answered, Handle& handle) {
+bool Mixer::submit(NewQuery query, AnswerCallback answered, Handle& handle) {
   switch (trackerNow().submit(std::move(query), handle)) {
-    case Ledger::Taken::inUse:
+    case QueryTracker::SubmitResult::idInUse:
       return false;
-    case Ledger::Taken::full: {
+    case QueryTracker::SubmitResult::full: {
       FinalAnswer full;
       full.kind = FinalAnswer::Kind::refused;
-      if (host().mayRetryAfter) full.retryAfter = config_->settings.maxRetryAfter.value_or(kFullRetryAfter);
+      if (host().sendRetryAfter) full.retryAfter = config_->settings.maxRetryAfter.value_or(kFullRetryAfter);
       answered(full);
       return true;
     }
-    case Ledger::Taken::open:
+    case QueryTracker::SubmitResult::accepted:
       break;
   }
-  callbacks_[number(handle)] = std::move(answered);
+  callbacks_[toNumber(handle)] = std::move(answered);
   processCommands();
   return true;
 }
 
 void Mixer::abandon(Handle query) {
-  callbacks_.erase(number(query));
-  trackerNow().abandon(query);
+  callbacks_.erase(toNumber(query));
+  trackerNow().cancelQuery(query);
   processCommands();
 }
 
 // Events that are caused by the actions of this turn are delivered in the next turn.
 void Mixer::turn() {
   const Micros startedAt = loop_.now();
-  tracker_.at(startedAt);
+  tracker_.setNow(startedAt);
   const std::vector<Event> events = tracker_.takeEvents();
   if (events.empty()) return processCommands();
-  counters_.add(Count::turns);
+  counters_.add(Counter::turns);
   for (const Action& action : module_.react(startedAt, events))
     std::visit([this](const auto& a) { act(a); }, action);
   tracker_.flushCalls();
@@ -135,7 +137,7 @@
 void Mixer::act(const SetTimer& a) {
   loop_.deadlines.add(loop_.now() + a.delay, [this] {
     tracker_.push(TimerFired{});
-    loop_.wantTurn();
+    loop_.requestTurn();
   });
 }
 void Mixer::act(const CloseIdle& a) { leaves_.closeIdle(a.server); }
--- a/src/core/mixer.hpp
+++ b/src/core/mixer.hpp
@@ -1,6 +1,6 @@
 // Connects the decision module to the fronts and the leaf sides: collects events, calls the module once a
 // turn and performs its actions. A front submits queries and gets one final answer for each; nothing here
-// depends on the front's protocol. The state of queries and attempts is kept by `Ledger`.
+// depends on the front's protocol. The state of queries and attempts is kept by `QueryTracker`.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -9,60 +9,60 @@
 #include <unordered_map>
 
 #include "counters.hpp"
-#include "query_tracker.hpp"
-#include "loop.hpp"
 #include "interfaces.hpp"
+#include "loop.hpp"
+#include "query_tracker.hpp"
 
 namespace cometdeal::net {
 
 class Mixer {
  public:
-  using Answered = std::function<void(const FinalAnswer&)>;
+  using AnswerCallback = std::function<void(const FinalAnswer&)>;
 
   Mixer(Loop& loop, Counters& counters, LeafSide& leaves, const Settings& settings, const HostSettings& host,
         std::uint64_t seed);
 
   // The interface for fronts. `answered` is called once, possibly before submit returns, unless the query is
   // abandoned first. Returns false, without a call, if the id of the query or of one of its parts is in use.
-  bool submit(NewQuery query, Answered answered, Handle& handle);
-  void abandon(Handle query);                  // the client has disconnected
-  bool ready() const { return hasLeafList_; }  // a non-empty list of leaf servers has been received
-  std::size_t open() const { return tracker_.open(); }
-  Aggregator::Listed listed() const { return module_.listed(); }
+  bool submit(NewQuery query, AnswerCallback answered, Handle& handle);
+  void abandon(Handle query);                        // the client has disconnected
+  bool hasLeafList() const { return hasLeafList_; }  // a non-empty list of leaf servers has been received
+  std::size_t openQueries() const { return tracker_.openQueries(); }
+  Aggregator::ServerCounts listed() const { return module_.serverCounts(); }
   const HostSettings& host() const { return config_->host; }
   // The classes are by index and include those that are being removed.
   const Settings& settings() const { return config_->settings; }
 
   // Changes the settings; open queries continue with the settings of their class from when they arrived. The
   // indices of the first `kept` classes are never reused.
-  void retune(const Settings& settings, const HostSettings& host, int kept = 0);
+  void reconfigure(const Settings& settings, const HostSettings& host, int kept = 0);
   // Passes a list of leaf servers on to the leaf side and the decision module.
-  void list(const LeafList& list, ListKind kind);
+  void updateLeafList(const LeafList& list, ListKind kind);
   // Calls the decision module with the pending events and performs its actions.
   void turn();
 
  private:
-  void act(const Send& a) { tracker_.act(a); }
-  void act(const Cancel& a) { tracker_.act(a); }
-  void act(const Answer& a) { tracker_.act(a); }
-  void act(const Refuse& a) { tracker_.act(a); }
-  void act(const Fail& a) { tracker_.act(a); }
+  void act(const Send& a) { tracker_.apply(a); }
+  void act(const Cancel& a) { tracker_.apply(a); }
+  void act(const Answer& a) { tracker_.apply(a); }
+  void act(const Refuse& a) { tracker_.apply(a); }
+  void act(const Fail& a) { tracker_.apply(a); }
   void act(const SetTimer& a);
   void act(const CloseIdle& a);
   void act(const Subscribe&) {}  // discovery is always subscribed to
   void act(const Note& a);
-  Ledger& trackerNow();    // sets the time of the query tracker to the present
-  void processCommands();  // executes the commands of the query tracker, updates the alarm
+  QueryTracker& trackerNow();  // sets the time of the query tracker to the present
+  void processCommands();      // executes the commands of the query tracker, updates the alarm
 
   Loop& loop_;
   Counters& counters_;
   LeafSide& leaves_;
-  std::shared_ptr<const Ledger::Rules> config_;
-  Ledger tracker_;
+  std::shared_ptr<const QueryTracker::Config> config_;
+  QueryTracker tracker_;
   Alarm alarm_;
   Aggregator module_;
-  std::unordered_map<std::uint64_t, Answered> callbacks_;  // by query handle
-  Micros unixOffset_ = 0;                                  // Unix time minus the loop's clock
+  std::unordered_map<std::uint64_t, AnswerCallback> callbacks_;  // by query handle
+  Micros unixOffset_ = 0;                                        // Unix time minus the loop's clock
   bool hasLeafList_ = false, executing_ = false;
 };
 
--- a/src/core/query_tracker.cpp
+++ b/src/core/query_tracker.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::vector<Event> Ledger::takeEvents() {
+std::vector<Event> QueryTracker::takeEvents() {
   for (const Handle h : std::exchange(evaluationQueue_, {})) evaluatePhase(h);
   std::vector<Event> out = std::exchange(events_, {});
   for (Event& event : out)
@@ -25,17 +25,17 @@
   return out;
 }
 
-Ledger::Taken Ledger::submit(NewQuery request, Handle& handle) {
+QueryTracker::SubmitResult QueryTracker::submit(NewQuery request, Handle& handle) {
   // The decision module keeps queries and parts in one table of ids, and a client may choose an id that
   // equals the id of another query's part.
-  if (queriesById_.contains(request.id) || partsById_.contains(request.id)) return Taken::inUse;
+  if (queriesById_.contains(request.id) || partsById_.contains(request.id)) return SubmitResult::idInUse;
   for (const QueryPart& p : request.parts)
-    if (queriesById_.contains(partId(request.id, p.shard))) return Taken::inUse;
-  count(Count::queriesTaken);
+    if (queriesById_.contains(partId(request.id, p.shard))) return SubmitResult::idInUse;
+  count(Counter::queriesTaken);
   if (config_->settings.maxOpen && openUnits_ >= *config_->settings.maxOpen) {
-    count(Count::queriesFull);
+    count(Counter::queriesRefusedFull);
     countQueryEnd(request.cls, FinalAnswer::Kind::refused);
-    return Taken::full;
+    return SubmitResult::full;
   }
   handle = queries_.add();
   Query& q = *queries_.get(handle);
@@ -47,22 +47,22 @@
   queriesById_[q.request.id] = handle;
   ++openQueries_;
   openUnits_ += 1 + int(q.request.parts.size());
-  if (!PLANTED(lateBackstop))
-    q.backstop = timers_.add(q.request.until - kBackstopMargin, {Timer::Kind::backstop, handle});
+  if (!FAULT_INJECTED(lateBackstop))
+    q.backstop = timers_.add(q.request.deadline - kBackstopMargin, {Timer::Kind::backstop, handle});
 
   QueryArrived event;
   event.id = q.request.id;
   event.group = q.group;
   event.cls = q.request.cls;
   event.parts = int(q.request.parts.size());
-  event.timeLeft = q.request.until;  // takeEvents() converts this time to a duration
+  event.timeLeft = q.request.deadline;  // takeEvents() converts this time to a duration
   event.key = q.request.key;
   event.repeated = q.request.repeated;
   if (q.request.plan) {
     const ClassSettings& cls = classOf(q);
     // When a client repeats a query, only the remaining time is known. The aim counts from the client's first
     // request, so the time already spent is deducted.
-    const Micros left = q.request.until - now_;
+    const Micros left = q.request.deadline - now_;
     const Micros spent = q.request.repeated ? std::max<Micros>(0, cls.deadline - left) : 0;
     q.phaseState = PhaseState{};
     q.phaseState->startedAt = q.phaseState->stepStartedAt = now_;
@@ -79,32 +79,32 @@
     q.parts.push_back(std::move(part));
   }
   if (q.phaseState) {
-    event.timeLeft = phaseTimes(q).until;
+    event.timeLeft = phaseTimes(q).deadline;
     event.terms = stepTerms(q);
   }
   push(std::move(event));
   for (const Part& p : q.parts) push(PartArrived{p.id, q.group, p.shard, p.weight});
-  return Taken::open;
+  return SubmitResult::accepted;
 }
 
-void Ledger::abandon(Handle h) {
+void QueryTracker::cancelQuery(Handle h) {
   Query* q = queries_.get(h);
-  if (!q || (q->ended && !PLANTED(answerTwice))) return;
-  count(Count::clientsGone);
-  push(ClientGone{q->request.id});
-  finish(h, {}, PLANTED(answerTwice));
+  if (!q || (q->ended && !FAULT_INJECTED(answerTwice))) return;
+  count(Counter::clientsGone);
+  push(QueryCancelled{q->request.id});
+  finish(h, {}, FAULT_INJECTED(answerTwice));
 }
 
 // The time until which a further attempt of the part may begin. A part that may have run on a leaf server is
 // not sent again unless its class is safe; in a keyed class it is sent again only while leaf servers drop
 // repeats.
-Micros Ledger::retryAllowedUntil(const Query& q, const Part& part) const {
+Micros QueryTracker::retryAllowedUntil(const Query& q, const Part& part) const {
   const ClassSettings& cls = classOf(q);
   // A class that has recently become keyed may still receive queries without a key; leaf servers cannot
   // recognize repeats of those.
-  const bool atMostOnce = (q.request.exchange && q.request.exchange->once) ||
+  const bool atMostOnce = (q.request.exchange && q.request.exchange->atMostOnce) ||
                           (cls.effect == Effect::keyed && !q.request.idempotencyKey && !q.request.exchange);
-  if ((cls.effect == Effect::safe && !atMostOnce) || PLANTED(keyedAgain)) return INT64_MAX;
+  if ((cls.effect == Effect::safe && !atMostOnce) || FAULT_INJECTED(keyedAgain)) return INT64_MAX;
   for (const AttemptRecord& record : part.attempts)
     if (record.mayHaveRun)
       return cls.effect == Effect::keyed && !atMostOnce ? record.sentAt + cls.repeatWindow.value_or(0) : 0;
@@ -112,15 +112,15 @@
 }
 
 // Whether the rules allow one more attempt; checked independently of the decision module.
-bool Ledger::mayAttempt(const Query& q, const Part& part) const {
+bool QueryTracker::mayAttempt(const Query& q, const Part& part) const {
   const std::optional<int> maximum = config_->settings.maxAttempts;
-  if (maximum && int(part.attempts.size()) >= *maximum && !PLANTED(keyedAgain)) return false;
+  if (maximum && int(part.attempts.size()) >= *maximum && !FAULT_INJECTED(keyedAgain)) return false;
   // A request that the front could not retain in full cannot be sent again.
-  if (!part.attempts.empty() && q.request.exchange && !q.request.exchange->request.whole()) return false;
+  if (!part.attempts.empty() && q.request.exchange && !q.request.exchange->request.replayable()) return false;
   return now_ < retryAllowedUntil(q, part);
 }
 
-void Ledger::act(const Send& a) {
+void QueryTracker::apply(const Send& a) {
   const auto it = partsById_.find(a.part);
   Query* q = it == partsById_.end() ? nullptr : queries_.get(it->second.first);
   if (!q) return defect("the module sends an unknown part", a.part);
@@ -133,25 +133,26 @@
     push(AttemptEnded{a.part, number, Outcome::skipped, a.server, 0, std::nullopt});
     return;
   }
-  count(Count::sends);
+  count(Counter::sends);
   const Micros startBy = retryAllowedUntil(*q, part);
   const Handle h = attempts_.add();
   Attempt& attempt = *attempts_.get(h);
   attempt = {it->second.first, index, number, a.server, now_, true, std::nullopt};
   part.attempts.push_back({h, now_, true});
   ++q->attemptsOutstanding;
-  const Micros until = a.timeout > 0 ? std::min(q->request.until, now_ + a.timeout) : q->request.until;
+  const Micros until = a.timeout > 0 ? std::min(q->request.deadline, now_ + a.timeout) : q->request.deadline;
   attempt.timeout = timers_.add(until, {Timer::Kind::timeout, h});
   Call call{h, part.id, part.shard, {}, q->text, until, startBy, number, q->request.exchange};
   if (q->request.idempotencyKey && config_->host.classKeyed[std::size_t(q->request.cls)])
-    call.list += ",k=" + *q->request.idempotencyKey;
-  if (q->step == 2) call.list += ",from=" + q->firstStepShards + ",whole=" + (q->firstComplete ? "1" : "0");
+    call.extraFields += ",k=" + *q->request.idempotencyKey;
+  if (q->step == 2)
+    call.extraFields += ",from=" + q->firstStepShards + ",whole=" + (q->firstComplete ? "1" : "0");
   auto calls = std::ranges::find(turnCalls_, a.server, [](const auto& entry) { return entry.first; });
   if (calls == turnCalls_.end()) calls = turnCalls_.insert(turnCalls_.end(), {a.server, {}});
   calls->second.push_back(std::move(call));
 }
 
-void Ledger::flushCalls() {
+void QueryTracker::flushCalls() {
   for (auto& [server, calls] : std::exchange(turnCalls_, {})) {
     std::erase_if(calls, [&](const Call& call) {
       Attempt* attempt = attempts_.get(call.attempt);  // null: abandoned in this turn
@@ -162,7 +163,7 @@
   }
 }
 
-void Ledger::act(const Cancel& a) {
+void QueryTracker::apply(const Cancel& a) {
   const auto it = partsById_.find(a.part);
   const Query* q = it == partsById_.end() ? nullptr : queries_.get(it->second.first);
   if (!q) return;
@@ -170,20 +171,20 @@
   if (a.attempt < 0 || std::size_t(a.attempt) >= attempts.size()) return;
   const Handle h = attempts[std::size_t(a.attempt)].attempt;
   if (!attempts_.get(h)) return;
-  count(Count::cancels);
-  commands_.push_back(GiveUp{h});
-  ended(h, Outcome::cancelled, {});
+  count(Counter::cancels);
+  commands_.push_back(Abandon{h});
+  attemptEnded(h, Outcome::cancelled, {});
 }
 
-Ledger::Query* Ledger::openQuery(const std::string& id, Handle& h) {
+QueryTracker::Query* QueryTracker::openQuery(const std::string& id, Handle& h) {
   const auto it = queriesById_.find(id);
   if (it == queriesById_.end()) return nullptr;
   h = it->second;
   Query* q = queries_.get(h);
-  return q && (!q->ended || PLANTED(answerTwice)) ? q : nullptr;
+  return q && (!q->ended || FAULT_INJECTED(answerTwice)) ? q : nullptr;
 }
 
-void Ledger::act(const Answer& a) {
+void QueryTracker::apply(const Answer& a) {
   Handle h;
   Query* q = openQuery(a.query, h);
   if (!q) return;
@@ -191,44 +192,44 @@
     q->phaseState->exhausted = true;
     return evaluatePhase(h);
   }
-  if (q->step == 1 && classOf(*q).followUp > 0) return beginSecondStep(h, *q, a.whole);
-  finish(h, servedAnswer(*q, q->stepFirstPart, q->parts.size(), a.whole));
+  if (q->step == 1 && classOf(*q).secondStepParts > 0) return beginSecondStep(h, *q, a.complete);
+  finish(h, servedAnswer(*q, q->stepFirstPart, q->parts.size(), a.complete));
 }
 
-FinalAnswer Ledger::servedAnswer(Query& q, std::size_t from, std::size_t to, bool whole) {
+FinalAnswer QueryTracker::servedAnswer(Query& q, std::size_t from, std::size_t to, bool whole) {
   FinalAnswer answer;
   answer.kind = FinalAnswer::Kind::served;
-  answer.whole = whole;
+  answer.complete = whole;
   for (std::size_t k = from; k < to; ++k)
     if (q.parts[k].done) answer.rows.push_back({q.parts[k].shard, q.parts[k].value, q.parts[k].reply});
-  count(whole ? Count::answeredWhole : Count::answeredPartly);
+  count(whole ? Counter::answeredWhole : Counter::answeredPartly);
   return answer;
 }
 
-void Ledger::act(const Refuse& a) {
+void QueryTracker::apply(const Refuse& a) {
   Handle h;
   if (!openQuery(a.query, h)) return;
-  count(Count::refused);
+  count(Counter::refused);
   FinalAnswer answer;
   answer.kind = FinalAnswer::Kind::refused;
-  if (config_->host.mayRetryAfter) answer.retryAfter = a.retryAfter;
+  if (config_->host.sendRetryAfter) answer.retryAfter = a.retryAfter;
   finish(h, std::move(answer));
 }
 
-void Ledger::act(const Fail& a) {
+void QueryTracker::apply(const Fail& a) {
   Handle h;
   if (!openQuery(a.query, h)) return;
-  count(Count::failed);
+  count(Counter::failed);
   finish(h, {});
 }
 
-int Ledger::openParts(const Query& q) {
+int QueryTracker::openParts(const Query& q) {
   return int(std::count_if(q.parts.begin() + std::ptrdiff_t(q.stepFirstPart), q.parts.end(),
                            [](const Part& p) { return !p.done; }));
 }
 
-std::vector<phases::Seen> Ledger::stepParts(const Query& q) const {
-  std::vector<phases::Seen> out;
+std::vector<phases::PartState> QueryTracker::stepParts(const Query& q) const {
+  std::vector<phases::PartState> out;
   for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k) {
     const Part& p = q.parts[k];
     out.push_back({p.shard, p.weight, p.done, p.score});
@@ -236,20 +237,20 @@
   return out;
 }
 
-// Starts the second step of a class without a phase plan: fetches from the `followUp` shards with the highest
-// scores among those that have answered.
-void Ledger::beginSecondStep(Handle h, Query& q, bool whole) {
+// Starts the second step of a class without a phase plan: fetches from the `secondStepParts` shards with the
+// highest scores among those that have answered.
+void QueryTracker::beginSecondStep(Handle h, Query& q, bool whole) {
   phases::Phase fetch;
-  fetch.prune.rule = phases::Rule::top;
-  fetch.prune.most = classOf(q).followUp;
-  const phases::Picked picked = phases::pick(fetch, stepParts(q));
-  if (picked.keep.empty())
+  fetch.prune.rule = phases::PruneRule::top;
+  fetch.prune.maxShards = classOf(q).secondStepParts;
+  const phases::Selection selection = phases::selectShards(fetch, stepParts(q));
+  if (selection.indices.empty())
     return defect("the module answers a query of which no part is answered", q.request.id);
-  beginStep(h, q, picked.keep, whole);
+  beginStep(h, q, selection.indices, whole);
 }
 
 // `ask`: indices into the parts of the first step.
-void Ledger::beginStep(Handle h, Query& q, const std::vector<std::size_t>& ask, bool whole) {
+void QueryTracker::beginStep(Handle h, Query& q, const std::vector<std::size_t>& ask, bool whole) {
   std::vector<int> answered;
   for (const Part& p : q.parts)
     if (p.done) answered.push_back(p.shard);
@@ -282,42 +283,44 @@
 
 // ---- Queries in phases -----------------------------------------------------------------------------------
 
-phases::Times Ledger::phaseTimes(const Query& q) const {
+phases::TimeLimits QueryTracker::phaseTimes(const Query& q) const {
   const ClassSettings& cls = classOf(q);
   // If an answer after the aim is worth nothing, the aim is the deadline.
-  const Micros until = cls.lateShare > 0 ? q.request.until : std::min(q.request.until, q.phaseState->aim);
+  const Micros until =
+      cls.lateShare > 0 ? q.request.deadline : std::min(q.request.deadline, q.phaseState->aim);
   const Micros margin = kPhaseMarginTicks * config_->settings.tick + kPhaseDeliveryMargin;
   return {now_, q.phaseState->startedAt, std::min(q.phaseState->aim, until), until, margin};
 }
 
-phases::Needs Ledger::needs(const Query& q) const {
+phases::PhaseTimeEstimator QueryTracker::phaseTimeEstimator(const Query& q) const {
   return [this, &q](int phase, std::size_t parts, double chance) {
-    return phaseNeeds ? phaseNeeds(q.request.id, phase, parts, chance)
-                      : latencies_.allIn(q.request.cls, phase, parts, chance, now_);
+    return phaseTimeOverride ? phaseTimeOverride(q.request.id, phase, parts, chance)
+                             : latencies_.timeForAll(q.request.cls, phase, parts, chance, now_);
   };
 }
 
 // Terms of the current step, whose parts have already been created.
-StepTerms Ledger::stepTerms(const Query& q) const {
+StepTerms QueryTracker::stepTerms(const Query& q) const {
   const int phase = q.step - 1;
   const std::size_t parts = q.parts.size() - q.stepFirstPart;
   const phases::Plan& plan = *q.request.plan;
-  const phases::Times times = phaseTimes(q);
-  const Micros endBy = phase == 0 ? phases::firstBy(plan, parts, times, needs(q)) : phases::secondBy(times);
+  const phases::TimeLimits times = phaseTimes(q);
+  const Micros endBy = phase == 0 ? phases::firstPhaseDue(plan, parts, times, phaseTimeEstimator(q))
+                                  : phases::secondPhaseDue(times);
   double asked = 0;
   for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k) asked += q.parts[k].weight;
-  return {std::max<Micros>(1, endBy - now_), phases::leastOf(plan, phase) * asked,
+  return {std::max<Micros>(1, endBy - now_), phases::minimumShareOf(plan, phase) * asked,
           phase == 1 && plan.phases[1].maySkip};
 }
 
-void Ledger::queueEvaluation(Handle h, Query& q) {
+void QueryTracker::queueEvaluation(Handle h, Query& q) {
   if (std::exchange(q.phaseState->evaluationQueued, true)) return;
   evaluationQueue_.push_back(h);
 }
 
 // For each part that was sent and has not answered, records the time since the start of the step as a lower
 // bound of its latency.
-void Ledger::recordCutOffLatencies(const Query& q) {
+void QueryTracker::recordCutOffLatencies(const Query& q) {
   for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k)
     if (!q.parts[k].done && !q.parts[k].attempts.empty())
       latencies_.add(q.request.cls, q.step - 1, now_ - q.phaseState->stepStartedAt, now_, true);
@@ -325,41 +328,43 @@
 
 // Decides whether the current phase ends, and begins the second phase or answers the query if so. All phases
 // end here.
-void Ledger::evaluatePhase(Handle h) {
+void QueryTracker::evaluatePhase(Handle h) {
   Query* q = queries_.get(h);
   if (!q || q->ended) return;
   PhaseState& state = *q->phaseState;
   state.evaluationQueued = false;
-  timers_.drop(state.evaluationTimer);
+  timers_.cancel(state.evaluationTimer);
   const phases::Plan& plan = *q->request.plan;
-  const phases::Sight sight{q->step - 1, stepParts(*q), state.exhausted};
-  phases::Step step = phases::next(plan, sight, phaseTimes(*q), needs(*q));
-  if (PLANTED(shortAnswer) && state.exhausted && step.kind == phases::Step::Kind::stay)
+  const phases::PhaseState phaseState{q->step - 1, stepParts(*q), state.exhausted};
+  phases::Step step = phases::nextStep(plan, phaseState, phaseTimes(*q), phaseTimeEstimator(*q));
+  if (FAULT_INJECTED(shortAnswer) && state.exhausted && step.kind == phases::Step::Kind::blocked)
     step.kind = phases::Step::Kind::answer;
   using Kind = phases::Step::Kind;
   if (step.kind == Kind::wait && !state.exhausted) {
-    if (step.at < phases::kNever) state.evaluationTimer = timers_.add(step.at, {Timer::Kind::phase, h});
+    if (step.recheckAt < phases::kNever)
+      state.evaluationTimer = timers_.add(step.recheckAt, {Timer::Kind::phase, h});
     return;
   }
   recordCutOffLatencies(*q);
   if (q->step == 1) {
-    state.account.firstEnds(plan, sight.parts, step);
-    if (step.how == phases::Step::How::early) count(Count::firstsEarly);
-    if (step.second == phases::Step::Second::skipped) count(Count::secondsSkipped);
+    state.account.firstPhaseEnded(plan, phaseState.parts, step);
+    if (step.phaseEnd == phases::Step::PhaseEnd::early) count(Counter::phasesFirstEarly);
+    if (step.secondPhase == phases::Step::SecondPhase::skipped) count(Counter::phasesSecondSkipped);
   } else {
-    state.account.secondEnds(sight.parts, step);
-    if (step.second == phases::Step::Second::failed) count(Count::secondsFailed);
+    state.account.secondPhaseEnded(phaseState.parts, step);
+    if (step.secondPhase == phases::Step::SecondPhase::failed) count(Counter::phasesSecondFailed);
   }
-  if (step.kind == Kind::second) {
-    const bool cut = step.second == phases::Step::Second::cut;
-    count(cut ? Count::secondsCut : Count::secondsWhole);
+  if (step.kind == Kind::beginSecond) {
+    const bool cut = step.secondPhase == phases::Step::SecondPhase::cut;
+    count(cut ? Counter::phasesSecondCut : Counter::phasesSecondWhole);
     state.exhausted = false;
     state.stepStartedAt = now_;
     if (!plan.phases[1].text.empty())
       q->text = std::make_shared<const std::string>(plan.phases[1].text);
     else if (!plan.phases[0].text.empty())  // the first phase had a text of its own; now use the query's
       q->text = std::make_shared<const std::string>(q->request.text);
-    beginStep(h, *q, step.ask, sight.parts.size() == std::size_t(state.account.phases[0].in));
+    beginStep(h, *q, step.selectedParts,
+              phaseState.parts.size() == std::size_t(state.account.phases[0].answered));
     return queueEvaluation(h, *q);
   }
   // Stays a failure if no further answers are expected and those that arrived are not enough for an answer.
@@ -370,17 +375,17 @@
                           state.account.exact(plan));
     answer.account = std::make_shared<const phases::Account>(state.account);
   } else {
-    count(Count::failed);
+    count(Counter::failed);
   }
-  push(ClientGone{q->request.id});
+  push(QueryCancelled{q->request.id});
   finish(h, std::move(answer));
 }
 
 // All attempts end here.
-void Ledger::ended(Handle h, Outcome outcome, LeafAnswer answer) {
+void QueryTracker::attemptEnded(Handle h, Outcome outcome, LeafAnswer answer) {
   Attempt* attempt = attempts_.get(h);
   if (!attempt) return;  // has already ended
-  timers_.drop(attempt->timeout);
+  timers_.cancel(attempt->timeout);
   counters_->add(outcome);
   const Attempt endedAttempt = *attempt;
   attempts_.remove(h);
@@ -411,7 +416,7 @@
 
 // All queries end here. Attempts of which no byte has been sent are withdrawn first, so that nothing is sent
 // after the final answer, whether or not the decision module cancels them.
-void Ledger::finish(Handle h, FinalAnswer answer, bool report) {
+void QueryTracker::finish(Handle h, FinalAnswer answer, bool report) {
   Query& q = *queries_.get(h);
   if (!q.ended) {
     --openQueries_;
@@ -419,8 +424,8 @@
     countQueryEnd(q.request.cls, answer.kind);
   }
   q.ended = true;
-  timers_.drop(q.backstop);
-  if (q.phaseState && !PLANTED(lookAfterEnd)) timers_.drop(q.phaseState->evaluationTimer);
+  timers_.cancel(q.backstop);
+  if (q.phaseState && !FAULT_INJECTED(lookAfterEnd)) timers_.cancel(q.phaseState->evaluationTimer);
   std::vector<Handle> unsent;
   for (Part& p : q.parts) {
     p.reply.reset();
@@ -436,17 +441,17 @@
   }
   if (report) commands_.push_back(Final{h, std::move(answer)});
   for (const Handle one : unsent) {
-    count(Count::withdrawn);
-    if (PLANTED(leakOnWithdraw))
+    count(Counter::withdrawn);
+    if (FAULT_INJECTED(leakOnWithdraw))
       attempts_.remove(one);
     else
-      ended(one, Outcome::cancelled, {});
+      attemptEnded(one, Outcome::cancelled, {});
   }
   releaseIfSettled(h);
 }
 
 // Frees the slot of a query once it has ended and its last attempt has ended.
-void Ledger::releaseIfSettled(Handle h) {
+void QueryTracker::releaseIfSettled(Handle h) {
   const Query* q = queries_.get(h);
   if (!q || !q->ended || q->attemptsOutstanding > 0) return;
   for (const Part& p : q->parts) {
@@ -457,9 +462,9 @@
   queries_.remove(h);
 }
 
-void Ledger::sweep() {
-  const std::uint64_t mark = timers_.mark();
-  while (const std::optional<Timer> timer = timers_.takeDue(now_, mark)) {
+void QueryTracker::runDueTimers() {
+  const std::uint64_t mark = timers_.lastSequence();
+  while (const std::optional<Timer> timer = timers_.popDue(now_, mark)) {
     if (timer->kind == Timer::Kind::backstop) {
       failAtBackstop(timer->owner);
     } else if (timer->kind == Timer::Kind::phase) {
@@ -469,8 +474,8 @@
       queueEvaluation(timer->owner, *q);
     } else if (Attempt* attempt = attempts_.get(timer->owner)) {
       attempt->timeout.reset();
-      commands_.push_back(GiveUp{timer->owner});
-      ended(timer->owner, Outcome::timedOut, {});
+      commands_.push_back(Abandon{timer->owner});
+      attemptEnded(timer->owner, Outcome::timedOut, {});
     }
   }
 }
@@ -478,45 +483,45 @@
 // Guarantees a final answer before the client's deadline whatever the decision module does. A refusal would
 // tell the client that nothing has run or that a repeat is harmless; neither is known here, so the query
 // fails.
-void Ledger::failAtBackstop(Handle h) {
+void QueryTracker::failAtBackstop(Handle h) {
   Query* q = queries_.get(h);
   if (!q || q->ended) return;
   q->backstop.reset();
-  count(Count::backstops);
+  count(Counter::backstops);
   defect("the module left a query open until its end", q->request.id);
-  push(ClientGone{q->request.id});
+  push(QueryCancelled{q->request.id});
   finish(h, {});
 }
 
-bool Ledger::holds(int cls) const {
+bool QueryTracker::usesClass(int cls) const {
   return std::ranges::any_of(queries_.all(), [&](Handle h) { return queries_.get(h)->request.cls == cls; });
 }
 
 // Counts the end of a query for its class. A query whose client has disconnected counts as failed.
-void Ledger::countQueryEnd(int cls, FinalAnswer::Kind kind) {
+void QueryTracker::countQueryEnd(int cls, FinalAnswer::Kind kind) {
   const std::vector<std::string>& names = config_->host.classNames;
   if (std::size_t(cls) >= names.size()) return;  // the checker's model does not name its classes
-  ClassCounts& counts = counters_->ofClass(names[std::size_t(cls)]);
+  ClassCounts& counts = counters_->forClass(names[std::size_t(cls)]);
   ++(kind == FinalAnswer::Kind::served    ? counts.succeeded
      : kind == FinalAnswer::Kind::refused ? counts.declined
                                           : counts.aborted);
 }
 
-void Ledger::defect(const char* what, const std::string& id) {
-  count(Count::defects);
+void QueryTracker::defect(const char* what, const std::string& id) {
+  count(Counter::defects);
   commands_.push_back(Defect{what, id});
 }
 
 // ---- For the model checker -------------------------------------------------------------------------------
 
-std::vector<Ledger::Sight> Ledger::sight() const {
-  std::vector<Sight> out;
+std::vector<QueryTracker::QueryView> QueryTracker::queryViews() const {
+  std::vector<QueryView> out;
   for (const Handle h : queries_.all()) {
     const Query& q = *queries_.get(h);
-    Sight s{h, q.request.cls, q.ended, {}};
+    QueryView s{h, q.request.cls, q.ended, {}};
     for (std::size_t k = 0; k < q.parts.size(); ++k) {
       const Part& p = q.parts[k];
-      Sight::Part part{p.id, p.done, k >= q.stepFirstPart, {}};
+      QueryView::Part part{p.id, p.done, k >= q.stepFirstPart, {}};
       for (const AttemptRecord& record : p.attempts)
         part.live.push_back(attempts_.get(record.attempt) != nullptr);
       s.parts.push_back(std::move(part));
@@ -526,29 +531,29 @@
   return out;
 }
 
-Handle Ledger::queryOf(Handle attempt) const {
+Handle QueryTracker::queryOf(Handle attempt) const {
   const Attempt* a = attempts_.get(attempt);
   return a ? a->query : Handle{};
 }
 
-std::string Ledger::nameOf(Handle attempt) const {
+std::string QueryTracker::attemptName(Handle attempt) const {
   const Attempt* a = attempts_.get(attempt);
   const Query* q = a ? queries_.get(a->query) : nullptr;
   return q ? q->parts[a->part].id + "#" + std::to_string(a->number) : std::string();
 }
 
-Ledger::Sums Ledger::sums() const {
+QueryTracker::Usage QueryTracker::usage() const {
   return {queries_.size(), attempts_.size(), queriesById_.size() + partsById_.size(), timers_.size(),
           openUnits_};
 }
 
-void Ledger::digest(Digest& to) const {
+void QueryTracker::digest(Digest& to) const {
   for (const Handle h : queries_.all()) {
     const Query& q = *queries_.get(h);
     to << q.request.id << q.request.cls << q.ended << q.step << q.firstComplete << q.firstStepShards;
     if (q.phaseState) {
       to << q.phaseState->exhausted << q.phaseState->evaluationQueued;
-      for (const phases::PhaseAccount& p : q.phaseState->account.phases) to << p.asked << p.in;
+      for (const phases::PhaseAccount& p : q.phaseState->account.phases) to << p.asked << p.answered;
     }
     for (const Part& p : q.parts) {
       to << p.id << p.done << p.value << std::uint32_t(p.attempts.size());
@@ -568,7 +573,7 @@
   for (const auto& [key, timer] : timers_.entries()) {
     to.time(key.first) << timer.kind;
     const Query* q = queries_.get(timer.owner);
-    to << (timer.kind == Timer::Kind::timeout ? nameOf(timer.owner) : q ? q->request.id : std::string());
+    to << (timer.kind == Timer::Kind::timeout ? attemptName(timer.owner) : q ? q->request.id : std::string());
   }
   to << std::uint32_t(attempts_.size()) << openUnits_;
   for (const Event& event : events_) {
--- a/src/core/query_tracker.hpp
+++ b/src/core/query_tracker.hpp
@@ -21,19 +21,19 @@
 #include <variant>
 #include <vector>
 
-#include "timer_queue.hpp"
 #include "counters.hpp"
 #include "digest.hpp"
+#include "interfaces.hpp"
 #include "phases/latency.hpp"
 #include "phases/steps.hpp"
-#include "interfaces.hpp"
 #include "slot_table.hpp"
+#include "timer_queue.hpp"
 
 namespace cometdeal::net {
 
-class Ledger {
+class QueryTracker {
  public:
-  struct Rules {
+  struct Config {
     Settings settings;
     HostSettings host;
   };
@@ -42,7 +42,7 @@
     std::string server;
     std::vector<Call> calls;
   };
-  struct GiveUp {  // see LeafSide::giveUp
+  struct Abandon {  // see LeafSide::abandon
     Handle attempt;
   };
   struct Withdraw {  // see LeafSide::withdraw
@@ -59,22 +59,23 @@
     const char* what;
     std::string id;  // of the query or part concerned
   };
-  using Command = std::variant<SendCalls, GiveUp, Withdraw, Forget, Final, Defect>;
-  // full: the limit maxOpen is reached. inUse: the id of the query or of one of its parts is already in use.
-  enum class Taken { open, full, inUse };
+  using Command = std::variant<SendCalls, Abandon, Withdraw, Forget, Final, Defect>;
+  // full: the limit maxOpen is reached. idInUse: the id of the query or of one of its parts is already in
+  // use.
+  enum class SubmitResult { accepted, full, idInUse };
 
-  Ledger(std::shared_ptr<const Rules> config, Counters* counters)
+  QueryTracker(std::shared_ptr<const Config> config, Counters* counters)
       : config_(std::move(config)), counters_(counters) {}
 
   // Replaces the settings. Open queries refer to their class by index, so the settings of a class that is
   // still in use must stay at the same index.
-  void retune(std::shared_ptr<const Rules> config) { config_ = std::move(config); }
-  bool holds(int cls) const;  // whether a query that has not settled belongs to this class
+  void reconfigure(std::shared_ptr<const Config> config) { config_ = std::move(config); }
+  bool usesClass(int cls) const;  // whether a query that has not settled belongs to this class
 
   // Sets the current time, in microseconds on the loop's clock, for all calls that follow.
-  void at(Micros now) { now_ = now; }
-  std::vector<Command> take() { return std::exchange(commands_, {}); }
-  bool quiet() const { return commands_.empty(); }
+  void setNow(Micros now) { now_ = now; }
+  std::vector<Command> takeCommands() { return std::exchange(commands_, {}); }
+  bool idle() const { return commands_.empty(); }
   // Returns the events that the decision module has not received yet, with the remaining time of new queries
   // computed as of now. Pending phase evaluations run first, so that the module learns of a new phase in the
   // same turn in which the previous one ended.
@@ -87,32 +88,32 @@
   }
 
   // Opens a query and sets `handle`, or rejects it and leaves `handle` as it is.
-  Taken submit(NewQuery query, Handle& handle);
-  void abandon(Handle query);  // the client has disconnected
-  void act(const Send& a);
-  void act(const Cancel& a);
-  void act(const Answer& a);
-  void act(const Refuse& a);
-  void act(const Fail& a);
+  SubmitResult submit(NewQuery query, Handle& handle);
+  void cancelQuery(Handle query);  // the client has disconnected
+  void apply(const Send& a);
+  void apply(const Cancel& a);
+  void apply(const Answer& a);
+  void apply(const Refuse& a);
+  void apply(const Fail& a);
   // To be called after the last action of a turn. Issues the calls of the turn, grouped by server, because
   // parts that go to one server in one turn may share a call.
   void flushCalls();
   // Reports the end of an attempt. Ignored if the attempt has already ended.
-  void ended(Handle attempt, Outcome outcome, LeafAnswer answer);
+  void attemptEnded(Handle attempt, Outcome outcome, LeafAnswer answer);
 
   // When the earliest timer is due.
-  std::optional<Micros> next() const { return timers_.next(); }
+  std::optional<Micros> nextTimer() const { return timers_.nextDue(); }
   // Runs the timers that are due: attempt time-outs, backstops and phase evaluations.
-  void sweep();
+  void runDueTimers();
 
-  std::size_t open() const { return openQueries_; }
+  std::size_t openQueries() const { return openQueries_; }
 
-  // If set, replaces the learned latencies of phases, for experiments; see phases::Needs.
+  // If set, replaces the learned latencies of phases, for experiments; see phases::PhaseTimeEstimator.
   std::function<std::optional<Micros>(const std::string& query, int phase, std::size_t parts, double chance)>
-      phaseNeeds;
+      phaseTimeOverride;
 
   // ---- For the model checker
-  struct Sight {
+  struct QueryView {
     struct Part {
       std::string id;
       bool done = false, current = true;  // current: belongs to the current step
@@ -123,16 +124,16 @@
     bool ended = false;
     std::vector<Part> parts;
   };
-  std::vector<Sight> sight() const;
+  std::vector<QueryView> queryViews() const;
   Handle queryOf(Handle attempt) const;
-  std::string nameOf(Handle attempt) const;  // "PART_ID#NUMBER"; empty if the attempt has ended
-  struct Sums {                              // entries in each table; all 0 once every query has settled
-    std::size_t queries = 0, attempts = 0, ids = 0, due = 0;
-    int held = 0;  // queries and parts that count towards maxOpen
+  std::string attemptName(Handle attempt) const;  // "PART_ID#NUMBER"; empty if the attempt has ended
+  struct Usage {                                  // entries in each table; all 0 once every query has settled
+    std::size_t queries = 0, attempts = 0, ids = 0, timers = 0;
+    int open = 0;  // queries and parts that count towards maxOpen
   };
-  Sums sums() const;
+  Usage usage() const;
   void digest(Digest& to) const;
-  void countTo(Counters* counters) { counters_ = counters; }
+  void setCounters(Counters* counters) { counters_ = counters; }
 
  private:
   struct Timer {
@@ -152,7 +153,7 @@
     long double score = 0;
     std::string value;
     std::string server;  // the server that answered
-    std::shared_ptr<FlowReader> reply;
+    std::shared_ptr<MessageReader> reply;
     std::vector<AttemptRecord> attempts;
   };
   // State of a query in phases. evaluatePhase() decides when a phase ends.
@@ -162,7 +163,7 @@
     bool evaluationQueued = false;  // the query is in evaluationQueue_
     std::size_t firstParts = 0;     // number of parts of the first phase
     phases::Account account;
-    std::optional<Agenda<Timer>::Key> evaluationTimer;
+    std::optional<TimerQueue<Timer>::Key> evaluationTimer;
   };
   struct Query {
     NewQuery request;
@@ -174,7 +175,7 @@
     std::string firstStepShards;    // shards that had answered when the first step ended, as "0+2+5"
     std::vector<Part> parts;
     int attemptsOutstanding = 0;
-    std::optional<Agenda<Timer>::Key> backstop;
+    std::optional<TimerQueue<Timer>::Key> backstop;
     std::optional<PhaseState> phaseState;
   };
   struct Attempt {
@@ -184,7 +185,7 @@
     std::string server;
     Micros sentAt = 0;
     bool unsent = true;  // not handed to the leaf side yet
-    std::optional<Agenda<Timer>::Key> timeout;
+    std::optional<TimerQueue<Timer>::Key> timeout;
   };
 
   static int openParts(const Query& q);  // parts of the current step without an answer
@@ -193,9 +194,9 @@
   Micros retryAllowedUntil(const Query& q, const Part& part) const;
   void beginSecondStep(Handle h, Query& q, bool whole);
   void beginStep(Handle h, Query& q, const std::vector<std::size_t>& ask, bool whole);
-  std::vector<phases::Seen> stepParts(const Query& q) const;  // parts of the current step
-  phases::Times phaseTimes(const Query& q) const;
-  phases::Needs needs(const Query& q) const;
+  std::vector<phases::PartState> stepParts(const Query& q) const;  // parts of the current step
+  phases::TimeLimits phaseTimes(const Query& q) const;
+  phases::PhaseTimeEstimator phaseTimeEstimator(const Query& q) const;
   StepTerms stepTerms(const Query& q) const;
   void queueEvaluation(Handle h, Query& q);
   void evaluatePhase(Handle h);
@@ -206,20 +207,20 @@
   void releaseIfSettled(Handle h);
   void failAtBackstop(Handle h);
   void defect(const char* what, const std::string& id);
-  void count(Count counter) { counters_->add(counter); }
+  void count(Counter counter) { counters_->add(counter); }
   void countQueryEnd(int cls, FinalAnswer::Kind kind);
   const ClassSettings& classOf(const Query& q) const {
     return config_->settings.classes[std::size_t(q.request.cls)];
   }
 
-  std::shared_ptr<const Rules> config_;
+  std::shared_ptr<const Config> config_;
   Counters* counters_;
   Micros now_ = 0;
   std::vector<Event> events_;
   std::vector<Command> commands_;
-  Table<Query> queries_;
-  Table<Attempt> attempts_;
-  Agenda<Timer> timers_;
+  SlotTable<Query> queries_;
+  SlotTable<Attempt> attempts_;
+  TimerQueue<Timer> timers_;
   std::unordered_map<std::string, Handle> queriesById_;
   std::unordered_map<std::string, std::pair<Handle, std::size_t>> partsById_;  // query and index of the part
   std::vector<std::pair<std::string, std::vector<Call>>> turnCalls_;  // calls of this turn, by server
@@ -232,20 +233,20 @@
 
 // Executes the commands, including those that are issued meanwhile, until none is left.
 template <typename Leaf, typename OnFinal, typename OnDefect>
-void carryOut(Ledger& tracker, Leaf& leaf, const OnFinal& onFinal, const OnDefect& onDefect) {
-  while (!tracker.quiet())
-    for (Ledger::Command& command : tracker.take()) {
-      if (auto* send = std::get_if<Ledger::SendCalls>(&command))
+void executeCommands(QueryTracker& tracker, Leaf& leaf, const OnFinal& onFinal, const OnDefect& onDefect) {
+  while (!tracker.idle())
+    for (QueryTracker::Command& command : tracker.takeCommands()) {
+      if (auto* send = std::get_if<QueryTracker::SendCalls>(&command))
         leaf.send(send->server, std::move(send->calls));
-      else if (const auto* abandoned = std::get_if<Ledger::GiveUp>(&command))
-        leaf.giveUp(abandoned->attempt);
-      else if (const auto* withdrawn = std::get_if<Ledger::Withdraw>(&command))
+      else if (const auto* abandoned = std::get_if<QueryTracker::Abandon>(&command))
+        leaf.abandon(abandoned->attempt);
+      else if (const auto* withdrawn = std::get_if<QueryTracker::Withdraw>(&command))
         leaf.withdraw(withdrawn->attempt);
-      else if (const auto* forget = std::get_if<Ledger::Forget>(&command))
+      else if (const auto* forget = std::get_if<QueryTracker::Forget>(&command))
         leaf.forget(forget->id);
-      else if (const auto* final = std::get_if<Ledger::Final>(&command))
+      else if (const auto* final = std::get_if<QueryTracker::Final>(&command))
         onFinal(final->query, final->answer);
-      else if (const auto* defect = std::get_if<Ledger::Defect>(&command))
+      else if (const auto* defect = std::get_if<QueryTracker::Defect>(&command))
         onDefect(defect->what, defect->id);
     }
 }
--- a/src/core/settings_change.cpp
+++ b/src/core/settings_change.cpp
@@ -11,22 +11,23 @@
 
 }  // namespace
 
-Retune retune(const Settings& current, const HostSettings& currentHost, const Settings& next,
-              const HostSettings& nextHost, const std::function<bool(int)>& inUse, Micros now) {
-  Retune out{next, nextHost, {}};
+SettingsChange planSettingsChange(const Settings& current, const HostSettings& currentHost,
+                                  const Settings& next, const HostSettings& nextHost,
+                                  const std::function<bool(int)>& inUse, Micros now) {
+  SettingsChange out{next, nextHost, {}};
   // Starts from the present classes; the last loop inserts the classes of the new file.
   out.settings.classes = current.classes;
   out.host.classNames = currentHost.classNames;
   out.host.classKeyed = currentHost.classKeyed;
-  out.host.classNeed = currentHost.classNeed;
-  out.host.classFloor = currentHost.classFloor;
+  out.host.classRequiredShare = currentHost.classRequiredShare;
+  out.host.classMinimumShare = currentHost.classMinimumShare;
   out.host.plans = currentHost.plans;
-  std::vector<Micros>& until = out.host.classUntil = currentHost.classUntil;
-  std::vector<Micros>& keyFrom = out.host.keyFrom = currentHost.keyFrom;
+  std::vector<Micros>& until = out.host.classValidUntil = currentHost.classValidUntil;
+  std::vector<Micros>& keyFrom = out.host.keyRequiredFrom = currentHost.keyRequiredFrom;
   const std::size_t oldSize = current.classes.size();
   until.resize(oldSize, kNever);
   keyFrom.resize(oldSize, 0);
-  for (std::size_t k = 0; k < oldSize; ++k) out.from.push_back(int(k));
+  for (std::size_t k = 0; k < oldSize; ++k) out.inheritFrom.push_back(int(k));
   const std::vector<Micros> previousUntil = until;
 
   for (std::size_t k = 0; k < oldSize; ++k)
@@ -41,32 +42,32 @@
     if (old >= 0) until[std::size_t(old)] = 0;
     std::size_t index = 0;
     while (index < oldSize &&
-           (previousUntil[index] > now || inUse(int(index)) || out.from[index] != int(index)))
+           (previousUntil[index] > now || inUse(int(index)) || out.inheritFrom[index] != int(index)))
       ++index;
     if (index == oldSize) index = out.settings.classes.size();
     if (index == out.settings.classes.size()) {
       out.settings.classes.emplace_back();
       out.host.classNames.emplace_back();
       out.host.classKeyed.push_back(false);
-      out.host.classNeed.push_back(0);
-      out.host.classFloor.push_back(0);
-      if (!out.host.plans.ofClass.empty()) out.host.plans.ofClass.emplace_back();
+      out.host.classRequiredShare.push_back(0);
+      out.host.classMinimumShare.push_back(0);
+      if (!out.host.plans.byClass.empty()) out.host.plans.byClass.emplace_back();
       until.push_back(0);
       keyFrom.push_back(0);
-      out.from.push_back(-1);
+      out.inheritFrom.push_back(-1);
     }
     out.settings.classes[index] = next.classes[k];
     out.host.classNames[index] = name;
     out.host.classKeyed[index] = nextHost.classKeyed[k];
-    out.host.classNeed[index] = nextHost.classNeed[k];
-    out.host.classFloor[index] = nextHost.classFloor[k];
-    if (!out.host.plans.ofClass.empty())
-      out.host.plans.ofClass[index] =
-          old < 0 ? nullptr : std::shared_ptr(currentHost.plans.ofClass[std::size_t(old)]);
+    out.host.classRequiredShare[index] = nextHost.classRequiredShare[k];
+    out.host.classMinimumShare[index] = nextHost.classMinimumShare[k];
+    if (!out.host.plans.byClass.empty())
+      out.host.plans.byClass[index] =
+          old < 0 ? nullptr : std::shared_ptr(currentHost.plans.byClass[std::size_t(old)]);
     until[index] = kNever;
     const bool wasKeyed = old >= 0 && currentHost.classKeyed[std::size_t(old)];
     keyFrom[index] = old >= 0 && !wasKeyed ? now + kLingerTime : 0;
-    out.from[index] = old;
+    out.inheritFrom[index] = old;
   }
   return out;
 }
--- a/src/core/settings_change.hpp
+++ b/src/core/settings_change.hpp
@@ -16,15 +16,17 @@
 
 namespace cometdeal::net {
 
-struct Retune {
+struct SettingsChange {
   Settings settings;
   HostSettings host;
-  std::vector<int> from;  // by class: index of the class whose learned statistics it inherits; -1: none
+  // By class: index of the class whose learned statistics it inherits; -1: none.
+  std::vector<int> inheritFrom;
 };
 
 // Merges the settings `next`, with classes in the order of their file, into the present ones. `inUse` tells
 // whether an index is in use by a query. Times are on the loop's clock.
-Retune retune(const Settings& current, const HostSettings& currentHost, const Settings& next,
-              const HostSettings& nextHost, const std::function<bool(int)>& inUse, Micros now);
+SettingsChange planSettingsChange(const Settings& current, const HostSettings& currentHost,
+                                  const Settings& next, const HostSettings& nextHost,
+                                  const std::function<bool(int)>& inUse, Micros now);
 
 }  // namespace cometdeal::net
--- a/src/core/slot_table.hpp
+++ b/src/core/slot_table.hpp
@@ -22,17 +22,18 @@
 // Copying the table copies all values. The address of a value does not change while others are added or
 // removed.
 template <typename T>
-class Table {
+class SlotTable {
  public:
-  Table() = default;
-  Table(Table&&) noexcept = default;
-  Table& operator=(Table&&) noexcept = default;
-  Table(const Table& other) : free_(other.free_), generations_(other.generations_), size_(other.size_) {
+  SlotTable() = default;
+  SlotTable(SlotTable&&) noexcept = default;
+  SlotTable& operator=(SlotTable&&) noexcept = default;
+  SlotTable(const SlotTable& other)
+      : free_(other.free_), generations_(other.generations_), size_(other.size_) {
     slots_.reserve(other.slots_.size());
     for (const auto& slot : other.slots_) slots_.push_back(slot ? std::make_unique<T>(*slot) : nullptr);
   }
-  Table& operator=(const Table& other) { return *this = Table(other); }
-  ~Table() = default;
+  SlotTable& operator=(const SlotTable& other) { return *this = SlotTable(other); }
+  ~SlotTable() = default;
 
   Handle add() {
     std::uint32_t index;
@@ -55,7 +56,7 @@
   }
   bool remove(Handle h) {
     if (!get(h)) return false;
-    if (!PLANTED(slotWithoutNewGeneration)) ++generations_[h.index];
+    if (!FAULT_INJECTED(slotWithoutNewGeneration)) ++generations_[h.index];
     slots_[h.index].reset();
     free_.push_back(h.index);
     --size_;
@@ -77,7 +78,7 @@
 
 // A table for values that may have to outlive their slot, such as the buffers of a pending I/O operation.
 template <typename T>
-class Slots {
+class SharedSlotTable {
  public:
   template <typename... Args>
   Handle add(Args&&... args) {
@@ -85,8 +86,8 @@
     *table_.get(h) = std::make_shared<T>(std::forward<Args>(args)...);
     return h;
   }
-  T* get(Handle h) const { return share(h).get(); }
-  std::shared_ptr<T> share(Handle h) const {
+  T* get(Handle h) const { return getShared(h).get(); }
+  std::shared_ptr<T> getShared(Handle h) const {
     const std::shared_ptr<T>* value = table_.get(h);
     return value ? *value : nullptr;
   }
@@ -95,10 +96,10 @@
   std::vector<Handle> all() const { return table_.all(); }
 
  private:
-  Table<std::shared_ptr<T>> table_;
+  SlotTable<std::shared_ptr<T>> table_;
 };
 
 // The handle as one integer, for use as a key.
-inline std::uint64_t number(Handle h) { return (std::uint64_t(h.generation) << 32) | h.index; }
+inline std::uint64_t toNumber(Handle h) { return (std::uint64_t(h.generation) << 32) | h.index; }
 
 }  // namespace cometdeal::net
--- a/src/core/timer_queue.hpp
+++ b/src/core/timer_queue.hpp
@@ -10,7 +10,7 @@
 namespace cometdeal::net {
 
 template <typename Item>
-class Agenda {
+class TimerQueue {
  public:
   using Key = std::pair<Micros, std::uint64_t>;  // due time, sequence number
   using Entries = std::map<Key, Item>;
@@ -21,19 +21,19 @@
     return key;
   }
   // Removes the entry, if it is still there, and clears the key. An empty key is ignored.
-  void drop(std::optional<Key>& key) {
+  void cancel(std::optional<Key>& key) {
     if (key) entries_.erase(*key);
     key.reset();
   }
-  std::optional<Micros> next() const {
+  std::optional<Micros> nextDue() const {
     if (entries_.empty()) return std::nullopt;
     return entries_.begin()->first.first;
   }
-  // A pass over the due entries reads mark() first and calls takeDue() with it until nothing is returned.
-  // Entries that are added during the pass, even if already due, wait for the next pass, so that every pass
-  // ends.
-  std::uint64_t mark() const { return lastSequence_; }
-  std::optional<Item> takeDue(Micros now, std::uint64_t upTo) {
+  // A pass over the due entries reads lastSequence() first and calls popDue() with it until nothing is
+  // returned. Entries that are added during the pass, even if already due, wait for the next pass, so that
+  // every pass ends.
+  std::uint64_t lastSequence() const { return lastSequence_; }
+  std::optional<Item> popDue(Micros now, std::uint64_t upTo) {
     for (auto it = entries_.begin(); it != entries_.end() && it->first.first <= now; ++it) {
       if (it->first.second > upTo) continue;
       std::optional<Item> out = std::move(it->second);
--- a/src/emulator/simulation.cpp
+++ b/src/emulator/simulation.cpp
@@ -153,21 +153,21 @@
     for (int k = 0; k < config_.leaves; ++k)
       leaves_.push_back(
           std::make_unique<Leaf>(clock_, config_.leaf, config_.seed * 104729 + std::uint64_t(k)));
-    auto trackerConfig = std::make_shared<Ledger::Rules>();
+    auto trackerConfig = std::make_shared<QueryTracker::Config>();
     Settings& settings = trackerConfig->settings;
     ClassSettings cls;
     cls.aim = config_.cls.aim;
     cls.deadline = config_.cls.deadline;
     cls.lateShare = config_.cls.lateShare;
-    cls.floor = config_.cls.floor;
-    cls.partial = 0.9;
-    cls.followUp = config_.cls.plan ? 0 : config_.cls.fetch;
+    cls.minimumShare = config_.cls.floor;
+    cls.partialFactor = 0.9;
+    cls.secondStepParts = config_.cls.plan ? 0 : config_.cls.fetch;
     settings.classes = {cls};
     settings.instances = config_.mixers;
     settings.tick = 5'000;
     settings.cells = config_.leaves;
     settings.reach = config_.reach;
-    settings.mayCancel = settings.maySecondCopy = true;
+    settings.mayCancel = settings.mayHedge = true;
     settings.maxAttempts = 3;
     settings.maxRetryAfter = 500'000;
     trackerConfig->host.classNames = {config_.cls.name};
@@ -202,7 +202,7 @@
   struct Mixer {
     Simulation& simulation;
     Counters counters;
-    Ledger tracker;
+    QueryTracker tracker;
     Aggregator module;
     bool turnScheduled = false;
     std::map<std::uint64_t, std::string> queries;  // ids of the open queries, by handle
@@ -213,16 +213,16 @@
           tracker(owner.trackerConfig_, &counters),
           module(owner.trackerConfig_->settings, owner.config_.seed * 31 + std::uint64_t(number)) {
       if (owner.config_.knowledge == Knowledge::claims)
-        tracker.phaseNeeds = [this](const std::string&, int phase, std::size_t, double chance) {
+        tracker.phaseTimeOverride = [this](const std::string&, int phase, std::size_t, double chance) {
           const phases::Plan& plan = *simulation.config_.cls.plan;
-          return std::optional<Micros>(Micros(plan.phases[std::size_t(phase)].claim *
+          return std::optional<Micros>(Micros(plan.phases[std::size_t(phase)].timeShare *
                                               double(simulation.config_.cls.aim) * (chance < 0.7 ? 0.5 : 1)));
         };
       if (owner.config_.knowledge == Knowledge::oracle)
-        tracker.phaseNeeds = [this](const std::string& query, int phase, std::size_t parts, double) {
+        tracker.phaseTimeOverride = [this](const std::string& query, int phase, std::size_t parts, double) {
           return std::optional<Micros>(simulation.predictPhaseTime(query, phase, parts));
         };
-      ListArrived list;
+      ServerListArrived list;
       for (int k = 0; k < owner.config_.leaves; ++k)
         list.entries.push_back(
             {"s" + std::to_string(100 + k), k % owner.config_.zones, k, ServerState::serving, {}});
@@ -237,7 +237,7 @@
       });
     }
     void turn() {
-      tracker.at(simulation.clock_.now);
+      tracker.setNow(simulation.clock_.now);
       const std::vector<Event> events = tracker.takeEvents();
       if (!events.empty()) {
         for (const Action& action : module.react(simulation.clock_.now, events)) act(action);
@@ -246,11 +246,11 @@
       processCommands();
     }
     void act(const Action& action) {
-      if (const auto* send = std::get_if<Send>(&action)) tracker.act(*send);
-      if (const auto* cancel = std::get_if<Cancel>(&action)) tracker.act(*cancel);
-      if (const auto* answer = std::get_if<Answer>(&action)) tracker.act(*answer);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) tracker.act(*refuse);
-      if (const auto* fail = std::get_if<Fail>(&action)) tracker.act(*fail);
+      if (const auto* send = std::get_if<Send>(&action)) tracker.apply(*send);
+      if (const auto* cancel = std::get_if<Cancel>(&action)) tracker.apply(*cancel);
+      if (const auto* answer = std::get_if<Answer>(&action)) tracker.apply(*answer);
+      if (const auto* refuse = std::get_if<Refuse>(&action)) tracker.apply(*refuse);
+      if (const auto* fail = std::get_if<Fail>(&action)) tracker.apply(*fail);
       if (const auto* timer = std::get_if<SetTimer>(&action))
         simulation.clock_.schedule(simulation.clock_.now + timer->delay, [this] {
           tracker.push(TimerFired{});
@@ -258,28 +258,28 @@
         });
     }
     void processCommands() {
-      carryOut(
+      executeCommands(
           tracker, *this,
           [this](Handle query, const FinalAnswer& answer) { simulation.answered(*this, query, answer); },
           [](const char*, const std::string&) {});
-      if (const auto next = tracker.next();
+      if (const auto next = tracker.nextTimer();
           next && (timerAt < 0 || *next < timerAt || timerAt <= simulation.clock_.now)) {
         timerAt = *next;
         simulation.clock_.schedule(*next, [this, dueAt = *next] {
           if (timerAt == dueAt) timerAt = -1;
-          tracker.at(simulation.clock_.now);
-          tracker.sweep();
+          tracker.setNow(simulation.clock_.now);
+          tracker.runDueTimers();
           processCommands();
         });
       }
       if (tracker.hasEvents()) requestTurn();
     }
-    // The leaf side for carryOut.
+    // The leaf side for executeCommands.
     void send(const std::string& server, const std::vector<Call>& calls) {
       const std::size_t leaf = std::size_t(std::stoi(server.substr(1)) - 100);
       for (const Call& call : calls) simulation.send(*this, leaf, call);
     }
-    void giveUp(Handle) {}  // jobs that are running or queued are not stopped
+    void abandon(Handle) {}  // jobs that are running or queued are not stopped
     void withdraw(Handle) {}
     void forget(const std::string&) {}
   };
@@ -304,17 +304,17 @@
     NewQuery query;
     query.id = id;
     query.key = "k" + std::to_string(int(uniform(random_, 0, 5000)));
-    query.until = clock_.now + c.deadline;
+    query.deadline = clock_.now + c.deadline;
     query.plan = c.plan;
     for (int k = 0; k < record.parts; ++k)
       query.parts.push_back({(record.firstShard + k) % config_.leaves, 1.0 / record.parts});
     records_[id] = record;
     if (record.measured) ++report_.queries;
     Mixer& m = *mixers_[queryCount_ % mixers_.size()];
-    m.tracker.at(clock_.now);
+    m.tracker.setNow(clock_.now);
     Handle h;
     m.tracker.submit(std::move(query), h);
-    m.queries[number(h)] = id;
+    m.queries[toNumber(h)] = id;
     m.processCommands();
   }
 
@@ -345,24 +345,24 @@
 
   void send(Mixer& m, std::size_t leaf, const Call& call) {
     ++sends_;
-    partsSent_ += call.number == 0;
+    partsSent_ += call.attemptNumber == 0;
     const bool fetch = call.id.ends_with(".fetch");
     const std::string query = call.id.substr(0, call.id.find('.'));
     QueryRecord& record = records_[query];
-    if (const std::size_t from = call.list.find("from="); from != std::string::npos) {
-      const std::string named = call.list.substr(from, call.list.find(',', from) - from);
+    if (const std::size_t from = call.extraFields.find("from="); from != std::string::npos) {
+      const std::string named = call.extraFields.substr(from, call.extraFields.find(',', from) - from);
       record.firstPhaseWeight = double(std::ranges::count(named, '+') + 1) / record.parts;
     }
     clock_.schedule(clock_.now + config_.oneWayDelay, [this, &m, leaf, call, query, fetch] {
-      Job job{call.id, workOf(query, call.shard, fetch ? 1 : 0), call.until, {}};
+      Job job{call.id, workOf(query, call.shard, fetch ? 1 : 0), call.deadline, {}};
       job.done = [this, &m, call, query] {
         clock_.schedule(clock_.now + config_.oneWayDelay, [this, &m, call, query] {
           LeafAnswer answer;
           answer.id = call.id;
           answer.outcome = Outcome::done;
           answer.score = scoreOf(query, call.shard);
-          m.tracker.at(clock_.now);
-          m.tracker.ended(call.attempt, Outcome::done, std::move(answer));
+          m.tracker.setNow(clock_.now);
+          m.tracker.attemptEnded(call.attempt, Outcome::done, std::move(answer));
           m.processCommands();
         });
       };
@@ -390,7 +390,7 @@
   }
 
   void answered(Mixer& m, Handle h, const FinalAnswer& answer) {
-    const auto it = m.queries.find(number(h));
+    const auto it = m.queries.find(toNumber(h));
     if (it == m.queries.end()) return;
     const QueryRecord record = records_.at(it->second);
     m.queries.erase(it);
@@ -416,28 +416,29 @@
   double scorePhases(const phases::Account& account, const FinalAnswer& answer) {
     const phases::Plan& plan = *config_.cls.plan;
     const phases::PhaseAccount& first = account.phases[0];
-    if (first.weightIn < plan.phases[0].least - kRoundingTolerance) ++report_.belowMinimum;
-    if (answer.whole &&
-        (first.in < first.asked || (plan.two() && account.second != phases::Step::Second::whole)))
+    if (first.weightAnswered < plan.phases[0].minimumShare - kRoundingTolerance) ++report_.belowMinimum;
+    if (answer.complete &&
+        (first.answered < first.asked ||
+         (plan.hasSecondPhase() && account.secondPhase != phases::Step::SecondPhase::complete)))
       ++report_.wronglyComplete;
-    double worth = first.weightIn * config_.cls.firstWorth;
-    using Second = phases::Step::Second;
-    if (account.second == Second::skipped) ++report_.skipped;
-    if (account.second == Second::failed) ++report_.secondFailed;
-    if (account.second != Second::whole && account.second != Second::cut) return worth;
-    ++(account.second == Second::whole ? report_.complete : report_.cut);
+    double worth = first.weightAnswered * config_.cls.firstWorth;
+    using SecondPhase = phases::Step::SecondPhase;
+    if (account.secondPhase == SecondPhase::skipped) ++report_.skipped;
+    if (account.secondPhase == SecondPhase::failed) ++report_.secondFailed;
+    if (account.secondPhase != SecondPhase::complete && account.secondPhase != SecondPhase::cut) return worth;
+    ++(account.secondPhase == SecondPhase::complete ? report_.complete : report_.cut);
     const phases::PhaseAccount& second = account.phases[1];
-    if (second.weightIn < plan.phases[1].least * second.weightAsked - kRoundingTolerance)
+    if (second.weightAnswered < plan.phases[1].minimumShare * second.weightAsked - kRoundingTolerance)
       ++report_.belowMinimum;
-    return worth +
-           first.weightIn * (1 - config_.cls.firstWorth) * second.in / double(second.asked + second.cut);
+    return worth + first.weightAnswered * (1 - config_.cls.firstWorth) * second.answered /
+                       double(second.asked + second.cut);
   }
 
   const SimulationConfig& config_;
   Random random_;
   Clock clock_;
   std::vector<std::unique_ptr<Leaf>> leaves_;
-  std::shared_ptr<const Ledger::Rules> trackerConfig_;
+  std::shared_ptr<const QueryTracker::Config> trackerConfig_;
   std::vector<std::unique_ptr<Mixer>> mixers_;
   std::map<std::string, QueryRecord> records_;
   Report report_;
--- a/src/emulator/simulation.hpp
+++ b/src/emulator/simulation.hpp
@@ -1,6 +1,6 @@
 // Simulates a fleet in virtual time, to evaluate designs at sizes that are not practical with sockets. The
-// mixers run the same `Ledger` and decision module that serve; leaf servers and clients are modelled. The
-// same seed gives the same history.
+// mixers run the same `QueryTracker` and decision module that serve; leaf servers and clients are modelled.
+// The same seed gives the same history.
 //
 // Not modelled: connections and their limits, the work of leaf servers for cancels and probes, message sizes.
 #pragma once
--- a/src/front/grpc/calls.cpp
+++ b/src/front/grpc/calls.cpp
@@ -25,9 +25,9 @@
 
 http2::Limits limits(const grpc::Config& config) {
   http2::Limits out;
-  out.streams = config.streamsPerConnection;
-  out.streamWindow = config.streamWindow;
-  out.maxFieldsBytes = config.metadataMost;
+  out.maxConcurrentStreams = config.streamsPerConnection;
+  out.streamWindowBytes = config.streamWindowBytes;
+  out.maxFieldsBytes = config.maxMetadataBytes;
   return out;
 }
 // Whether a field applies to this connection only, or is set anew for the connection to the leaf server.
@@ -63,21 +63,21 @@
   const bool good = session_.received(bytes, now_);
   if (good) receivedHttp2_ = true;
   while (session_.hasEvents())
-    for (Session::Event& event : session_.take()) handle(event);
+    for (Session::Event& event : session_.takeEvents()) handle(event);
   return good;
 }
 
 std::string_view GrpcCalls::nextBytes() {
   for (;;) {
     while (session_.hasEvents())
-      for (Session::Event& event : session_.take()) handle(event);
+      for (Session::Event& event : session_.takeEvents()) handle(event);
     for (const std::int32_t id : std::exchange(dirty_, {})) {
       const auto at = calls_.find(id);
       if (at == calls_.end()) continue;
       reopenRequestWindow(id, at->second);
       forwardReply(id);
     }
-    const std::string_view bytes = session_.front();
+    const std::string_view bytes = session_.nextBytes();
     if (!bytes.empty() || (!session_.hasEvents() && dirty_.empty())) return bytes;
   }
 }
@@ -92,26 +92,26 @@
   if (const auto* first = std::get_if<Session::Headers>(&event))
     return beginCall(first->stream, first->fields, first->end);
   if (const auto* data = std::get_if<Session::Data>(&event)) return receiveData(data->stream, data->bytes);
-  if (const auto* end = std::get_if<Session::End>(&event)) return requestEnded(end->stream);
-  if (const auto* room = std::get_if<Session::Room>(&event)) return forwardReply(room->stream);
+  if (const auto* end = std::get_if<Session::EndStream>(&event)) return requestEnded(end->stream);
+  if (const auto* room = std::get_if<Session::SendBufferEmpty>(&event)) return forwardReply(room->stream);
   if (const auto* closed = std::get_if<Session::Closed>(&event)) {
     if (!calls_.contains(closed->stream)) return;
-    context_->counters->add(Count::clientsGone);
+    context_->counters->add(Counter::clientsGone);
     removeCall(closed->stream);
   }
 }
 
 void GrpcCalls::beginCall(std::int32_t id, const Fields& fields, bool end) {
-  context_->counters->add(Count::requests);
+  context_->counters->add(Counter::requests);
   const auto reject = [&](Status status, const std::string& message) {
-    context_->counters->add(Count::badRequests);
+    context_->counters->add(Counter::badRequests);
     session_.respond(id,
                      {{":status", "200"},
                       {"content-type", "application/grpc"},
                       {"grpc-status", std::to_string(int(status))},
                       {"grpc-message", grpc::encodeMessage(message)}},
                      true);
-    session_.closeWhenSaid(id);
+    session_.resetWhenFinished(id);
   };
   const auto field = [&](std::string_view name) -> std::string_view {
     const std::string* found = http2::find(fields, name);
@@ -120,13 +120,13 @@
   const std::string_view type = field("content-type");
   if (field(":method") != "POST" || !type.starts_with("application/grpc") ||
       (type.size() > 16 && type[16] != '+' && type[16] != ';')) {
-    context_->counters->add(Count::badRequests);
+    context_->counters->add(Counter::badRequests);
     session_.respond(id, {{":status", field(":method") == "POST" ? "415" : "405"}}, true);
-    return session_.closeWhenSaid(id);
+    return session_.resetWhenFinished(id);
   }
   if (http2::find(fields, ":too-much"))
     return reject(Status::resourceExhausted,
-                  "metadata over " + std::to_string(context_->config->metadataMost) + " bytes");
+                  "metadata over " + std::to_string(context_->config->maxMetadataBytes) + " bytes");
   const std::string path(field(":path"));
   const grpc::Route* route = context_->config->find(path);
   if (!route) return reject(Status::unimplemented, "unknown method " + quoted(path));
@@ -144,7 +144,7 @@
   NewQuery& q = call.query;
   q.id = name_ + "." + std::to_string(id);
   q.cls = route->cls;
-  q.until = call.deadline;
+  q.deadline = call.deadline;
   if (!route->key.empty()) {
     const std::string_view key = field(route->key);
     if (!key.empty()) q.key = std::string(key);
@@ -168,17 +168,17 @@
     if (!key.empty()) q.idempotencyKey = std::string(key);
   }
   call.exchange = std::make_shared<Exchange>(true);
-  call.exchange->once = !route->repeat;
+  call.exchange->atMostOnce = !route->repeat;
   call.exchange->streamed = serverStreams(route->kind);
-  Fields& head = call.exchange->request.head;
+  Fields& head = call.exchange->request.headers;
   for (const auto& one : fields)
     if ((one.first[0] != ':' || one.first == ":path" || one.first == ":authority") &&
         !isConnectionSpecific(one.first))
       head.push_back(one);
-  call.messages.emplace(context_->config->messageMost,
+  call.messages.emplace(context_->config->maxMessageBytes,
                         !field("grpc-encoding").empty() && field("grpc-encoding") != "identity");
   call.deadlineTimer = timers_.add(call.deadline, id);
-  call.exchange->request.onRoom = [this, id] { markDirty(id); };
+  call.exchange->request.onSpace = [this, id] { markDirty(id); };
   Call& stored = calls_.emplace(id, std::move(call)).first->second;
   if (end) return;  // requestEnded() follows
   if (clientStreams(route->kind)) submit(id, stored);
@@ -188,8 +188,8 @@
   const auto at = calls_.find(id);
   if (at == calls_.end()) return session_.consumed(id, bytes.size());
   Call& call = at->second;
-  Flow& request = call.exchange->request;
-  const std::size_t maxBytes = context_->config->messageMost;
+  MessageStream& request = call.exchange->request;
+  const std::size_t maxBytes = context_->config->maxMessageBytes;
   switch (call.messages->feed(bytes)) {
     case grpc::MessageFrameParser::State::tooLong:
       return fail(id, Status::resourceExhausted, "a message over " + std::to_string(maxBytes) + " bytes");
@@ -201,10 +201,11 @@
       break;
   }
   request.push(bytes);
-  if (!clientStreams(call.route->kind) && request.held() > maxBytes + kMessagePrefixBytes)
+  if (!clientStreams(call.route->kind) && request.buffered() > maxBytes + kMessagePrefixBytes)
     return fail(id, Status::unimplemented, "more than one message where the method takes one");
   // A request that exceeds the replay buffer is no longer retained: the call stays with the attempt it has.
-  if (request.kept() && clientStreams(call.route->kind) && request.held() > context_->config->maxReplayBytes)
+  if (request.retained() && clientStreams(call.route->kind) &&
+      request.buffered() > context_->config->maxReplayBytes)
     request.release();
   reopenRequestWindow(id, call);
 }
@@ -212,10 +213,10 @@
 // While the request is retained, all of it counts as consumed. After that the window advances with what the
 // attempt has consumed, plus the replay buffer's size.
 void GrpcCalls::reopenRequestWindow(std::int32_t id, Call& call) {
-  const Flow& request = call.exchange->request;
+  const MessageStream& request = call.exchange->request;
   const std::uint64_t limit =
-      request.kept() ? request.length() : request.begin() + context_->config->maxReplayBytes;
-  const std::uint64_t to = std::min(request.length(), limit);
+      request.retained() ? request.endOffset() : request.startOffset() + context_->config->maxReplayBytes;
+  const std::uint64_t to = std::min(request.endOffset(), limit);
   if (to <= call.windowFreed) return;
   session_.consumed(id, std::size_t(to - call.windowFreed));
   call.windowFreed = to;
@@ -258,7 +259,7 @@
   context_->scheduleFlush();
   if (answer.kind == FinalAnswer::Kind::served && !answer.rows.empty() && answer.rows.front().reply) {
     call.reply = answer.rows.front().reply;
-    call.replySubscription = (*call.reply)->listen([this, id] { markDirty(id); });
+    call.replySubscription = (*call.reply)->subscribe([this, id] { markDirty(id); });
     call.exchange->request.release();  // no other attempt will read it
     return markDirty(id);
   }
@@ -267,7 +268,7 @@
   if (call.deadline - now_ <= kNearDeadline)
     return fail(id, Status::deadlineExceeded, "no answer in time", std::move(more));
   // The client may retry where that is safe, after the given time; otherwise it is told not to retry (-1).
-  if (refused && !(call.exchange->once && answer.mayHaveRun)) {
+  if (refused && !(call.exchange->atMostOnce && answer.mayHaveRun)) {
     if (answer.retryAfter)
       more.emplace_back("grpc-retry-pushback-ms",
                         std::to_string(std::max<Micros>(0, *answer.retryAfter / 1000)));
@@ -276,7 +277,7 @@
   }
   // Pass on the status, message and further trailers of the last leaf server that failed, if there is one.
   if (call.exchange->lastFailure) {
-    Fields trailers = (*call.exchange->lastFailure)->tail();
+    Fields trailers = (*call.exchange->lastFailure)->trailers();
     const std::string* status = http2::find(trailers, "grpc-status");
     const auto parsed = status ? grpc::parseStatus(*status) : std::nullopt;
     if (parsed && *parsed != Status::ok) {
@@ -296,30 +297,31 @@
   const auto at = calls_.find(id);
   if (at == calls_.end() || !at->second.reply) return;
   Call& call = at->second;
-  Flow& reply = **call.reply;
-  const bool ended = reply.state() != Flow::State::open;
+  MessageStream& reply = **call.reply;
+  const bool ended = reply.state() != MessageStream::State::open;
   if (!call.headersSent) {
     Fields fields{{":status", "200"}};
-    if (ended && reply.length() == 0 && reply.head.empty()) {  // Trailers-Only
-      if (!http2::find(reply.tail(), "content-type")) fields.emplace_back("content-type", "application/grpc");
-      fields.insert(fields.end(), reply.tail().begin(), reply.tail().end());
+    if (ended && reply.endOffset() == 0 && reply.headers.empty()) {  // Trailers-Only
+      if (!http2::find(reply.trailers(), "content-type"))
+        fields.emplace_back("content-type", "application/grpc");
+      fields.insert(fields.end(), reply.trailers().begin(), reply.trailers().end());
       session_.respond(id, fields, true);
       return removeCall(id);
     }
-    fields.insert(fields.end(), reply.head.begin(), reply.head.end());
-    if (!http2::find(reply.head, "content-type")) fields.emplace_back("content-type", "application/grpc");
+    fields.insert(fields.end(), reply.headers.begin(), reply.headers.end());
+    if (!http2::find(reply.headers, "content-type")) fields.emplace_back("content-type", "application/grpc");
     session_.respond(id, fields, false);
     call.headersSent = true;
   }
   while (session_.buffered(id) < kMaxBufferedReplyBytes) {
-    const std::string_view piece = reply.from(call.replySent).substr(0, kMaxBufferedReplyBytes);
+    const std::string_view piece = reply.readFrom(call.replySent).substr(0, kMaxBufferedReplyBytes);
     if (piece.empty()) break;
     session_.write(id, piece);
     call.replySent += piece.size();
-    reply.taken(call.replySent);
+    reply.consumeTo(call.replySent);
   }
-  if (!ended || call.replySent < reply.length()) return;
-  session_.finish(id, reply.tail());
+  if (!ended || call.replySent < reply.endOffset()) return;
+  session_.finish(id, reply.trailers());
   removeCall(id);
 }
 
@@ -344,20 +346,20 @@
   const Call call = std::move(at->second);
   calls_.erase(at);
   auto key = call.deadlineTimer;
-  timers_.drop(key);
-  Flow& request = call.exchange->request;
-  request.onRoom = nullptr;
-  if (call.reply) (*call.reply)->unlisten(call.replySubscription);
-  const bool open = request.state() == Flow::State::open;
+  timers_.cancel(key);
+  MessageStream& request = call.exchange->request;
+  request.onSpace = nullptr;
+  if (call.reply) (*call.reply)->unsubscribe(call.replySubscription);
+  const bool open = request.state() == MessageStream::State::open;
   if (call.state == State::submitted) context_->abandon(call.queryHandle);
   request.fail();
   // The client is still sending the request, which is not needed any more.
-  if (open) session_.closeWhenSaid(id);
+  if (open) session_.resetWhenFinished(id);
 }
 
 void GrpcCalls::runDueTimers() {
-  const std::uint64_t mark = timers_.mark();
-  while (const std::optional<std::int32_t> id = timers_.takeDue(now_, mark)) {
+  const std::uint64_t mark = timers_.lastSequence();
+  while (const std::optional<std::int32_t> id = timers_.popDue(now_, mark)) {
     const auto at = calls_.find(*id);
     if (at == calls_.end()) continue;
     at->second.deadlineTimer.reset();
@@ -378,8 +380,8 @@
 std::size_t GrpcCalls::bufferedBytes() const {
   std::size_t out = 0;
   for (const auto& [id, call] : calls_) {
-    out += call.exchange->request.held() + session_.buffered(id);
-    if (call.reply) out += (*call.reply)->held();
+    out += call.exchange->request.buffered() + session_.buffered(id);
+    if (call.reply) out += (*call.reply)->buffered();
   }
   return out;
 }
--- a/src/front/grpc/calls.hpp
+++ b/src/front/grpc/calls.hpp
@@ -17,11 +17,11 @@
 #include <string>
 #include <vector>
 
-#include "core/timer_queue.hpp"
 #include "core/counters.hpp"
 #include "core/interfaces.hpp"
-#include "grpc/routes.hpp"
+#include "core/timer_queue.hpp"
 #include "grpc/protocol.hpp"
+#include "grpc/routes.hpp"
 #include "http2/session.hpp"
 
 namespace cometdeal::net {
@@ -58,11 +58,11 @@
   // The next bytes for the socket; empty if there is nothing to send now.
   std::string_view nextBytes();
   // Reports how many of those bytes the socket accepted.
-  void bytesWritten(std::size_t bytes) { session_.wrote(bytes); }
+  void bytesWritten(std::size_t bytes) { session_.bytesWritten(bytes); }
   // The connection has ended; all its calls are abandoned.
   void connectionEnded();
   // When runDueTimers() is to be called next.
-  std::optional<Micros> nextTimer() const { return timers_.next(); }
+  std::optional<Micros> nextTimer() const { return timers_.nextDue(); }
   void runDueTimers();
 
   // Graceful shutdown: announces it to the client, and limits the deadline of each call that still arrives to
@@ -90,11 +90,11 @@
     std::optional<grpc::MessageFrameParser> messages;
     std::uint64_t windowFreed = 0;  // bytes of the request for which the client's window was reopened
     Micros deadline = 0;
-    std::shared_ptr<FlowReader> reply;
+    std::shared_ptr<MessageReader> reply;
     std::uint64_t replySent = 0;  // bytes of the reply passed to the session
     int replySubscription = 0;
     bool headersSent = false;  // of the reply
-    std::optional<Agenda<std::int32_t>::Key> deadlineTimer;
+    std::optional<TimerQueue<std::int32_t>::Key> deadlineTimer;
   };
 
   void handle(http2::Session::Event& event);
@@ -120,7 +120,7 @@
   http2::Session session_;
   std::map<std::int32_t, Call> calls_;
   std::vector<std::int32_t> dirty_;  // calls whose request or reply has changed
-  Agenda<std::int32_t> timers_;      // the deadline of each call
+  TimerQueue<std::int32_t> timers_;  // the deadline of each call
   // Set to false when the connection ends, so that a late answer from the core is ignored.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   Micros drainDeadline_ = INT64_MAX;
--- a/src/front/grpc/server.cpp
+++ b/src/front/grpc/server.cpp
@@ -30,7 +30,7 @@
       for (;;) {
         BOOST_ASIO_CORO_YIELD c->socket.async_read_some(boost::asio::buffer(c->incoming), *this);
         if (!c->closing && !server->callsAtNow(*c).received({c->incoming.data(), bytes})) {
-          server->counters_.add(Count::badRequests);
+          server->counters_.add(Counter::badRequests);
           logLine("a gRPC client's connection ends: %s", c->calls.closeReason().c_str());
           c->closing = true;
         }
@@ -58,11 +58,11 @@
           if (int(server->connections_.size()) < server->config_.maxConnections || server->closeIdle())
             server->addConnection(std::move(*socket));
           else
-            server->counters_.add(Count::clientConnectionsShed);
+            server->counters_.add(Counter::clientConnectionsShed);
           continue;
         }
         // Usually out of descriptors. The client stays in the backlog: without a pause this would busy-loop.
-        server->counters_.add(Count::acceptFailures);
+        server->counters_.add(Counter::acceptFailures);
         logLine("accept: %s", ec.message().c_str());
         server->closeIdle();
         BOOST_ASIO_CORO_YIELD {
@@ -105,18 +105,18 @@
     if (c->calls.openCalls() == 0 && (!oldest || c->lastUsedAt < oldest->lastUsedAt)) oldest = c;
   }
   if (!oldest) return false;
-  counters_.add(Count::clientConnectionsShed);
+  counters_.add(Counter::clientConnectionsShed);
   close(*oldest);
   return true;
 }
 
 void GrpcServer::addConnection(tcp::socket socket) {
-  counters_.add(Count::clientConnections);
+  counters_.add(Counter::clientConnections);
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
   auto context = std::make_shared<FrontContext>();
-  context->submit = [this](NewQuery query, Mixer::Answered answered, Handle& handle) {
+  context->submit = [this](NewQuery query, Mixer::AnswerCallback answered, Handle& handle) {
     return mixer_.submit(std::move(query), std::move(answered), handle);
   };
   context->abandon = [this](Handle query) { mixer_.abandon(query); };
@@ -142,7 +142,7 @@
   if (draining_) c.calls.drain(drainDeadline_);
   updateTimeout(c);
   flush(c);
-  if (const auto held = connections_.share(h)) Reader(this, held)();
+  if (const auto held = connections_.getShared(h)) Reader(this, held)();
 }
 
 void GrpcServer::scheduleFlush(Handle h) {
@@ -157,7 +157,7 @@
 }
 
 void GrpcServer::flush(Connection& connection) {
-  const std::shared_ptr<Connection> c = connections_.share(connection.self);
+  const std::shared_ptr<Connection> c = connections_.getShared(connection.self);
   if (!c || c->closed || c->writing) return;
   for (;;) {
     const std::string_view bytes = callsAtNow(*c).nextBytes();
@@ -190,7 +190,7 @@
 
 void GrpcServer::updateTimeout(Connection& c) {
   const Micros now = loop_.now();
-  loop_.deadlines.drop(c.timeout);
+  loop_.deadlines.cancel(c.timeout);
   if (c.closed) return;
   if (c.calls.openCalls() > 0 && !c.closing) {
     c.lastUsedAt = now;
@@ -208,9 +208,9 @@
 
 void GrpcServer::close(Connection& c) {
   if (c.closed) return;
-  const std::shared_ptr<Connection> keep = connections_.share(c.self);
+  const std::shared_ptr<Connection> keep = connections_.getShared(c.self);
   c.closed = true;
-  loop_.deadlines.drop(c.timeout);
+  loop_.deadlines.cancel(c.timeout);
   c.callTimer->set(std::nullopt);
   connections_.remove(c.self);
   callsAtNow(c).connectionEnded();
--- a/src/front/grpc/server.hpp
+++ b/src/front/grpc/server.hpp
@@ -74,7 +74,7 @@
   int shards_;
   tcp::acceptor acceptor_;
   std::optional<Deadlines::Key> acceptPause_;
-  Slots<Connection> connections_;
+  SharedSlotTable<Connection> connections_;
   std::uint64_t acceptedCount_ = 0;
   Micros drainDeadline_ = INT64_MAX;
   bool draining_ = false;
