--- a/src/front/http/server.cpp
+++ b/src/front/http/server.cpp
@@ -68,8 +68,8 @@
   const auto& text = tag.get_ref<const std::string&>();
   return text.size() == 16 && std::ranges::all_of(text, [](unsigned char c) { return std::isxdigit(c); });
 }
-ReadQuery rejection(std::string error, int status = 400) {
-  ReadQuery out;
+ParsedQuery rejection(std::string error, int status = 400) {
+  ParsedQuery out;
   out.status = status;
   out.error = std::move(error);
   return out;
@@ -84,15 +84,15 @@
   Json out = Json::array();
   for (const phases::PhaseAccount& p : account.phases) {
     Json one{{"asked", p.asked},
-             {"in", p.in},
-             {"missing", p.asked - p.in},
+             {"in", p.answered},
+             {"missing", p.asked - p.answered},
              {"weight_asked", share(p.weightAsked)},
-             {"weight_in", share(p.weightIn)},
-             {"ended", endNames[std::size_t(p.how)]}};
+             {"weight_in", share(p.weightAnswered)},
+             {"ended", endNames[std::size_t(p.phaseEnd)]}};
     if (!out.empty()) {
-      one["ran"] = secondPhaseNames[std::size_t(account.second)];
+      one["ran"] = secondPhaseNames[std::size_t(account.secondPhase)];
       one["pruned"] = p.pruned, one["weight_pruned"] = share(p.weightPruned);
-      one["nothing"] = p.nothing, one["weight_nothing"] = share(p.weightNothing);
+      one["nothing"] = p.noMatch, one["weight_nothing"] = share(p.weightNoMatch);
       one["cut"] = p.cut, one["weight_cut"] = share(p.weightCut);
       if (p.asked == 0) one.erase("ended");
     }
@@ -103,7 +103,7 @@
 
 }  // namespace
 
-ReadQuery readQuery(const HttpMessage& request, const HostSettings& host, Micros receivedAt) {
+ParsedQuery parseQuery(const HttpMessage& request, const HostSettings& host, Micros receivedAt) {
   const std::string path = request.target.substr(0, request.target.find('?'));
   const std::size_t slash = path.rfind('/');
   if (path != "/api" && !path.starts_with("/api/")) return rejection("unknown path", 404);
@@ -112,25 +112,25 @@
   for (const char* name : {"x-request-id", "x-priority-class", "x-timeout", "idempotency-key"})
     if (std::ranges::count(request.headers, name, [](const auto& h) { return h.first; }) > 1)
       return rejection("a header stands twice");
-  ReadQuery out;
+  ParsedQuery out;
   NewQuery& q = out.query;
   const std::string* id = request.header("x-request-id");
   if (!id || !isToken(*id, 128)) return rejection("X-Request-ID is missing or no word");
   q.id = *id;
   const std::string* name = request.header("x-priority-class");
-  q.cls = name ? host.classOf(*name, receivedAt) : -1;
+  q.cls = name ? host.classIndex(*name, receivedAt) : -1;
   if (q.cls < 0) return rejection("unknown class");
   const std::string* timeout = request.header("x-timeout");
   const std::optional<double> seconds = timeout ? parseDecimal(*timeout) : std::nullopt;
   if (!seconds || *seconds <= 0 || *seconds > kMaxTimeoutSeconds)
     return rejection("X-Timeout is missing or no time");
-  q.until = receivedAt + Micros(*seconds * 1e6) - kNetworkAllowance;
+  q.deadline = receivedAt + Micros(*seconds * 1e6) - kNetworkAllowance;
   if (slash > 0 && slash + 1 < path.size()) q.key = path.substr(slash + 1);
   if (const std::string* key = request.header("idempotency-key")) {
     if (!isToken(*key, 256)) return rejection("Idempotency-Key is no word");
     q.idempotencyKey = *key;
   } else if (host.classKeyed[std::size_t(q.cls)] &&
-             (host.keyFrom.empty() || receivedAt >= host.keyFrom[std::size_t(q.cls)])) {
+             (host.keyRequiredFrom.empty() || receivedAt >= host.keyRequiredFrom[std::size_t(q.cls)])) {
     return rejection("Idempotency-Key is missing");
   }
   const std::string* retried = request.header("x-retried");
@@ -166,12 +166,12 @@
   // Each weight is rounded by itself: those of 35 parts add up to 1 less 15 millionths, and the answer would
   // never count as complete. So they are scaled to add up to 1.
   for (QueryPart& part : q.parts) part.weight /= sum;
-  if (!host.plans.ofClass.empty()) q.plan = host.plans.ofClass[std::size_t(q.cls)];
-  if (const auto plan = body.find("phases"); plan != body.end() && host.plans.inQueries) try {
-      q.plan = std::make_shared<const phases::Plan>(phases::readPlan(StrictJson("phases", *plan),
-                                                                     host.classNeed[std::size_t(q.cls)],
-                                                                     host.classFloor[std::size_t(q.cls)]));
-    } catch (const BadConfig& problem) {
+  if (!host.plans.byClass.empty()) q.plan = host.plans.byClass[std::size_t(q.cls)];
+  if (const auto plan = body.find("phases"); plan != body.end() && host.plans.allowInQuery) try {
+      q.plan = std::make_shared<const phases::Plan>(
+          phases::readPlan(StrictJson("phases", *plan), host.classRequiredShare[std::size_t(q.cls)],
+                           host.classMinimumShare[std::size_t(q.cls)]));
+    } catch (const ConfigError& problem) {
       return rejection(problem.what());
     }
   return out;
@@ -190,24 +190,25 @@
   }
   Json rows = Json::array();
   for (const Row& row : answer.rows) rows.push_back({{"id", row.shard}, {"data", row.value}});
-  Json body = {{"exact", answer.whole}, {"rows", std::move(rows)}};
+  Json body = {{"exact", answer.complete}, {"rows", std::move(rows)}};
   if (answer.account) body["phases"] = accountJson(*answer.account);
   return writeResponse(200, "", body.dump(-1, ' ', false, Json::error_handler_t::replace), close);
 }
 
 // The read loop of one connection; it pauses when the input buffer is full.
-struct Clients::Reader : boost::asio::coroutine {
-  Clients* clients;
+struct HttpServer::Reader : boost::asio::coroutine {
+  HttpServer* server;
   std::shared_ptr<Connection> c;
-  Reader(Clients* owner, std::shared_ptr<Connection> connection) : clients(owner), c(std::move(connection)) {}
+  Reader(HttpServer* owner, std::shared_ptr<Connection> connection)
+      : server(owner), c(std::move(connection)) {}
   void operator()(error_code ec = {}, std::size_t bytes = 0) {
     if (c->closed) return;
     BOOST_ASIO_CORO_REENTER(this) {
       c->reading = true;
       while (c->input.size() < kMaxInputBytes) {
         BOOST_ASIO_CORO_YIELD c->socket.async_read_some(boost::asio::buffer(c->readBuffer), *this);
-        if (ec) return clients->close(*c);
-        clients->onReceived(*c, bytes);
+        if (ec) return server->close(*c);
+        server->onReceived(*c, bytes);
         if (c->closed) return;
       }
       c->reading = false;  // restarted when the input buffer has free space
@@ -216,87 +217,87 @@
 };
 
 // The accept loop.
-struct Clients::Acceptor : boost::asio::coroutine {
-  Clients* clients;
+struct HttpServer::Acceptor : boost::asio::coroutine {
+  HttpServer* server;
   std::shared_ptr<tcp::socket> socket;
-  explicit Acceptor(Clients* owner) : clients(owner) {}
+  explicit Acceptor(HttpServer* owner) : server(owner) {}
   void operator()(error_code ec = {}) {
     // The accept completed before the listener was closed, but its completion runs only now. If the
     // connection were closed unread, its request would be lost.
-    if (!clients->acceptor_.is_open() && !ec && socket && socket->is_open())
-      return clients->onAccepted(std::move(*socket));
-    if (!clients->acceptor_.is_open()) return;
+    if (!server->acceptor_.is_open() && !ec && socket && socket->is_open())
+      return server->onAccepted(std::move(*socket));
+    if (!server->acceptor_.is_open()) return;
     BOOST_ASIO_CORO_REENTER(this) {
       for (;;) {
         // From a shared listener no connection is accepted until this process is ready: the other process can
         // serve it.
-        if (clients->sharedListener_ && !clients->mixer_.ready()) {
-          clients->acceptPending_ = false;
-          clients->restartAcceptingLater();
+        if (server->sharedListener_ && !server->mixer_.hasLeafList()) {
+          server->acceptPending_ = false;
+          server->restartAcceptingLater();
           return;
         }
         // At the connection limit one is shed; if none may be, new clients wait in the backlog.
-        if (int(clients->connections_.size()) >= clients->maxConnections_ && !clients->shedConnection()) {
-          clients->acceptPending_ = false;
-          clients->restartAcceptingLater();
+        if (int(server->connections_.size()) >= server->maxConnections_ && !server->shedConnection()) {
+          server->acceptPending_ = false;
+          server->restartAcceptingLater();
           return;
         }
-        clients->acceptPending_ = true;
-        socket = std::make_shared<tcp::socket>(clients->loop_.strand);
-        BOOST_ASIO_CORO_YIELD clients->acceptor_.async_accept(*socket, *this);
+        server->acceptPending_ = true;
+        socket = std::make_shared<tcp::socket>(server->loop_.strand);
+        BOOST_ASIO_CORO_YIELD server->acceptor_.async_accept(*socket, *this);
         if (ec == boost::asio::error::operation_aborted) return;
         if (!ec) {
-          clients->onAccepted(std::move(*socket));
+          server->onAccepted(std::move(*socket));
           continue;
         }
         // Usually the process is out of descriptors. The client still waits in the backlog, so an immediate
         // retry would be a busy loop.
-        clients->counters_.add(Count::acceptFailures);
+        server->counters_.add(Counter::acceptFailures);
         logLine("accept: %s", ec.message().c_str());
-        clients->shedConnection();
+        server->shedConnection();
         BOOST_ASIO_CORO_YIELD {
-          clients->loop_.deadlines.add(clients->loop_.now() + kAcceptRetryDelay,
-                                       [self = *this]() mutable { self(error_code()); });
+          server->loop_.deadlines.add(server->loop_.now() + kAcceptRetryDelay,
+                                      [self = *this]() mutable { self(error_code()); });
         }
       }
     }
   }
 };
 
-Clients::Clients(Loop& loop, Counters& counters, Mixer& mixer, int maxConnections)
+HttpServer::HttpServer(Loop& loop, Counters& counters, Mixer& mixer, int maxConnections)
     : loop_(loop),
       counters_(counters),
       mixer_(mixer),
       maxConnections_(maxConnections),
       acceptor_(loop.strand) {}
 
-void Clients::listen(const Address& address) {
+void HttpServer::listen(const Address& address) {
   listenAt(acceptor_, address);
   Acceptor{this}();
 }
 
-void Clients::adoptListener(int descriptor, const Address& address) {
+void HttpServer::adoptListener(int descriptor, const Address& address) {
   const std::string subject = "descriptor " + std::to_string(descriptor) + " ";
-  const std::string expected = ", expected a TCP socket that listens on " + asText(address);
+  const std::string expected = ", expected a TCP socket that listens on " + toString(address);
   const auto socketOption = [descriptor](int name) {
     int value = 0;
     socklen_t size = sizeof value;
     return getsockopt(descriptor, SOL_SOCKET, name, &value, &size) == 0 ? value : -1;
   };
   const int domain = socketOption(SO_DOMAIN);
-  if (domain < 0) throw BadConfig(subject + "is no socket" + expected);
+  if (domain < 0) throw ConfigError(subject + "is no socket" + expected);
   if ((domain != AF_INET && domain != AF_INET6) || socketOption(SO_TYPE) != SOCK_STREAM)
-    throw BadConfig(subject + "is another kind of socket" + expected);
-  if (socketOption(SO_ACCEPTCONN) != 1) throw BadConfig(subject + "does not listen" + expected);
+    throw ConfigError(subject + "is another kind of socket" + expected);
+  if (socketOption(SO_ACCEPTCONN) != 1) throw ConfigError(subject + "does not listen" + expected);
   const tcp::endpoint configured(boost::asio::ip::make_address(address.host), address.port);
   tcp::endpoint bound;
   socklen_t size = socklen_t(bound.capacity());
   if (getsockname(descriptor, bound.data(), &size) != 0)
-    throw BadConfig(subject + "has no address" + expected);
+    throw ConfigError(subject + "has no address" + expected);
   bound.resize(size);
   if (bound != configured)
-    throw BadConfig(subject + "listens on " + bound.address().to_string() + ":" +
-                    std::to_string(bound.port()) + expected);
+    throw ConfigError(subject + "listens on " + bound.address().to_string() + ":" +
+                      std::to_string(bound.port()) + expected);
   fcntl(descriptor, F_SETFD, FD_CLOEXEC);
   sharedListener_ = true;
   acceptor_.assign(configured.protocol(), descriptor);
@@ -304,7 +305,7 @@
   Acceptor{this}();
 }
 
-void Clients::drain(Micros answerBy) {
+void HttpServer::drain(Micros answerBy) {
   draining_ = true;
   answerBy_ = answerBy;
   // The kernel keeps a closed socket in the epoll set while another process holds it; for an assigned socket
@@ -315,7 +316,7 @@
 }
 
 // A request that is under way when its connection is closed is retried by the client on another mixer.
-void Clients::stopKeepAlive() {
+void HttpServer::stopKeepAlive() {
   keepAliveStopped_ = true;
   for (const Handle h : connections_.all())
     if (Connection* c = connections_.get(h); c && isIdle(*c)) close(*c);
@@ -324,7 +325,7 @@
 // A connection that has been silent for a while is unlikely to have a request under way when it is closed. A
 // connection in frequent use is closed with its next response. One without a request yet will probably send
 // one soon; otherwise its deadline for the first request closes it.
-void Clients::handOver() {
+void HttpServer::handOver() {
   keepAliveStopped_ = true;
   for (const Handle h : connections_.all())
     if (Connection* c = connections_.get(h);
@@ -334,7 +335,7 @@
 
 // A connection in the backlog is established from the client's view, so the backlog is emptied before the
 // listener is closed.
-void Clients::finish() {
+void HttpServer::finish() {
   error_code ec;
   while (acceptor_.is_open()) {
     tcp::socket socket(loop_.strand);
@@ -345,13 +346,13 @@
   acceptor_.close(ec);
 }
 
-bool Clients::isIdle(const Connection& c) const {
+bool HttpServer::isIdle(const Connection& c) const {
   if (c.awaitingAnswer || c.writing || !c.input.empty() || c.parser.begun()) return false;
   error_code ec;
   return c.socket.available(ec) == 0;
 }
 
-bool Clients::busy() const {
+bool HttpServer::busy() const {
   return std::ranges::any_of(connections_.all(), [this](Handle h) { return !isIdle(*connections_.get(h)); });
 }
 
@@ -359,7 +360,7 @@
 // 0: the last response has been queued; 1: no request yet, or none but /up; 2: a partial request that has
 // exceeded its grace period; 3 (kQueriedRank): has sent a query before. So silent connections, lingering
 // health checks and partial requests do not displace clients with queries.
-bool Clients::shedConnection() {
+bool HttpServer::shedConnection() {
   std::vector<std::pair<std::pair<int, Micros>, Handle>> order;
   int newConnections = 0;
   for (const Handle h : connections_.all()) {
@@ -383,7 +384,7 @@
     if (rank.first == kQueriedRank && newConnections > std::max(2, maxConnections_ / 8)) break;
     error_code ec;
     if (rank.first != 0 && c.socket.available(ec) > 0) continue;  // unread input has arrived
-    counters_.add(Count::clientConnectionsShed);
+    counters_.add(Counter::clientConnectionsShed);
     close(c);
     return true;
   }
@@ -391,7 +392,7 @@
 }
 
 // If too many connections are idle after a query, closes the one that has been idle longest.
-void Clients::trimIdleConnections() {
+void HttpServer::trimIdleConnections() {
   int idleCount = 0;
   Connection* oldest = nullptr;
   for (const Handle h : connections_.all()) {
@@ -403,12 +404,12 @@
     if (!oldest || c->lastUsedAt < oldest->lastUsedAt) oldest = c;
   }
   if (idleCount <= maxConnections_ / kIdleConnectionsDivisor || !isIdle(*oldest)) return;
-  counters_.add(Count::clientConnectionsShed);
+  counters_.add(Counter::clientConnectionsShed);
   close(*oldest);
 }
 
-void Clients::onAccepted(tcp::socket socket) {
-  counters_.add(Count::clientConnections);
+void HttpServer::onAccepted(tcp::socket socket) {
+  counters_.add(Counter::clientConnections);
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
@@ -421,15 +422,15 @@
   startReading(c);
 }
 
-void Clients::startReading(Connection& c) {
-  if (!c.reading && !c.closed) Reader(this, connections_.share(c.self))();
+void HttpServer::startReading(Connection& c) {
+  if (!c.reading && !c.closed) Reader(this, connections_.getShared(c.self))();
 }
 
 // Each connection has one deadline: for the current or first request to be complete, for the client's close
 // after the last response, or for the idle time between requests. The deadline of a request is fixed at the
 // connect or at its first byte: a client that sends a byte now and then must not extend it.
-void Clients::armDeadline(Connection& c) {
-  loop_.deadlines.drop(c.deadline);
+void HttpServer::armDeadline(Connection& c) {
+  loop_.deadlines.cancel(c.deadline);
   if (c.closed || c.awaitingAnswer) return;
   const bool begun = c.parser.begun() || !c.input.empty();
   const Micros at = c.closing ? loop_.now() + kLingerTimeout
@@ -441,8 +442,8 @@
   });
 }
 
-void Clients::onDeadline(Connection& c) {
-  const std::shared_ptr<Connection> guard = connections_.share(c.self);
+void HttpServer::onDeadline(Connection& c) {
+  const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   c.deadline.reset();
   if (c.closing || c.writing) return close(c);  // the client does not read its responses, or does not close
   // Input that has arrived but not been read yet may be a complete request, which must not be dropped.
@@ -452,12 +453,12 @@
     return armDeadline(c);
   }
   if (!c.parser.begun() && c.input.empty()) return close(c);
-  counters_.add(Count::badRequests);
+  counters_.add(Counter::badRequests);
   c.keepAlive = false;
   respond(c, writeResponse(408, "", "", true));
 }
 
-void Clients::onReceived(Connection& c, std::size_t bytes) {
+void HttpServer::onReceived(Connection& c, std::size_t bytes) {
   // After the last response, input is read and discarded: left unread, it would cause a reset.
   if (c.closing) return;
   const bool first = !c.parser.begun() && c.input.empty();
@@ -468,17 +469,17 @@
   if (!c.closed && !c.awaitingAnswer && first) armDeadline(c);
 }
 
-void Clients::processInput(Connection& c) {
-  const std::shared_ptr<Connection> guard = connections_.share(c.self);
+void HttpServer::processInput(Connection& c) {
+  const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   while (!c.closed && !c.awaitingAnswer && !c.closing && !c.input.empty()) {
     if (c.output.size() > kMaxOutputBytes)
       return;  // the client sends requests but does not read responses; flush() resumes processing
     std::string_view in = c.input;
     const HttpParser::State state = c.parser.feed(in);
     c.input.erase(0, c.input.size() - in.size());
-    if (state == HttpParser::State::more) return;
-    if (state == HttpParser::State::bad) {
-      counters_.add(Count::badRequests);
+    if (state == HttpParser::State::needMore) return;
+    if (state == HttpParser::State::malformed) {
+      counters_.add(Counter::badRequests);
       c.keepAlive = false;
       respond(c, writeResponse(c.parser.errorStatus(), "", "", true));
       return;
@@ -487,22 +488,22 @@
   }
 }
 
-void Clients::handleRequest(Connection& c, const HttpMessage& request) {
-  counters_.add(Count::requests);
+void HttpServer::handleRequest(Connection& c, const HttpMessage& request) {
+  counters_.add(Counter::requests);
   c.keepAlive = request.keepAlive;
   c.hasRequested = true;
   c.lastUsedAt = loop_.now();
   if (request.target == "/up") {
-    const bool up = mixer_.ready() && !draining_;
+    const bool up = mixer_.hasLeafList() && !draining_;
     // A client that has sent no query may stay connected only while there is plenty of capacity.
     if (keepAliveStopped_ || (!c.hasQueried && isCrowded())) c.keepAlive = false;
     return respond(c, writeResponse(up ? 200 : 503, "", "", !c.keepAlive));
   }
-  ReadQuery parsed = readQuery(request, mixer_.host(), c.requestStartedAt);
-  parsed.query.until = std::min(parsed.query.until, answerBy_);
+  ParsedQuery parsed = parseQuery(request, mixer_.host(), c.requestStartedAt);
+  parsed.query.deadline = std::min(parsed.query.deadline, answerBy_);
   c.hasQueried = c.hasQueried || parsed.status == 0;
   c.awaitingAnswer = true;
-  loop_.deadlines.drop(c.deadline);
+  loop_.deadlines.cancel(c.deadline);
   if (parsed.status == 0) {
     const bool accepted = mixer_.submit(
         std::move(parsed.query),
@@ -516,9 +517,9 @@
     if (accepted) return;
     parsed = {400, "X-Request-ID is in use", {}};
   }
-  counters_.add(Count::badRequests);
+  counters_.add(Counter::badRequests);
   const std::string* cls = request.header("x-priority-class");
-  if (cls && mixer_.host().classOf(*cls, loop_.now()) >= 0) ++counters_.ofClass(*cls).aborted;
+  if (cls && mixer_.host().classIndex(*cls, loop_.now()) >= 0) ++counters_.forClass(*cls).aborted;
   logLine("request turned away: %s", parsed.error.c_str());
   c.keepAlive = false;
   const Json body = {{"error", parsed.error}};
@@ -526,8 +527,9 @@
 }
 
 // Writes the response to the current request, then goes on with the next request or ends the connection.
-void Clients::respond(Connection& c, const std::string& response) {
-  const std::shared_ptr<Connection> guard = connections_.share(c.self);  // a failed write ends the connection
+void HttpServer::respond(Connection& c, const std::string& response) {
+  const std::shared_ptr<Connection> guard =
+      connections_.getShared(c.self);  // a failed write ends the connection
   c.awaitingAnswer = false;
   c.query = {};
   c.closing = !c.keepAlive;
@@ -541,17 +543,18 @@
 }
 
 // Processes pipelined input, posted to the loop: not within the turn that answered the previous request.
-void Clients::resumeInput(Connection& c) {
+void HttpServer::resumeInput(Connection& c) {
   if (c.closed || c.closing || c.input.empty()) return;
   boost::asio::post(loop_.strand, [this, h = c.self] {
-    const std::shared_ptr<Connection> shared = connections_.share(h);  // processing may end the connection
+    const std::shared_ptr<Connection> shared =
+        connections_.getShared(h);  // processing may end the connection
     if (!shared) return;
     processInput(*shared);
     startReading(*shared);
   });
 }
 
-void Clients::flush(Connection& c) {
+void HttpServer::flush(Connection& c) {
   if (c.closed || c.writing) return;
   std::size_t done = 0;
   while (done < c.output.size()) {
@@ -560,7 +563,7 @@
     if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) {
       c.writing = true;
       c.socket.async_wait(tcp::socket::wait_write, [this, h = c.self](const error_code&) {
-        const std::shared_ptr<Connection> writable = connections_.share(h);
+        const std::shared_ptr<Connection> writable = connections_.getShared(h);
         if (!writable) return;
         writable->writing = false;
         flush(*writable);
@@ -576,18 +579,18 @@
 
 // Shuts down the sending side and waits for the client to close: a close with unread input would reset the
 // connection, and the client could lose the response.
-void Clients::shutdownSend(Connection& c) {
+void HttpServer::shutdownSend(Connection& c) {
   error_code ignored;
   c.socket.shutdown(tcp::socket::shutdown_send, ignored);
   c.input.clear();
   startReading(c);
 }
 
-void Clients::close(Connection& c) {
+void HttpServer::close(Connection& c) {
   if (c.closed) return;
-  const std::shared_ptr<Connection> guard = connections_.share(c.self);
+  const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   c.closed = true;
-  loop_.deadlines.drop(c.deadline);
+  loop_.deadlines.cancel(c.deadline);
   error_code ignored;
   c.socket.close(ignored);
   connections_.remove(c.self);
@@ -595,7 +598,7 @@
   restartAccepting();
 }
 
-void Clients::restartAccepting() {
+void HttpServer::restartAccepting() {
   if (acceptPending_ || !acceptor_.is_open()) return;
   acceptPending_ = true;
   boost::asio::post(loop_.strand, [this] { Acceptor{this}(); });
@@ -603,7 +606,7 @@
 
 // Retries after a delay: a connection that may not be shed now may be shed a moment later, and no event marks
 // that moment.
-void Clients::restartAcceptingLater() {
+void HttpServer::restartAcceptingLater() {
   if (acceptRetry_) return;
   acceptRetry_ = loop_.deadlines.add(loop_.now() + kAcceptRetryDelay, [this] {
     acceptRetry_.reset();
--- a/src/front/http/server.hpp
+++ b/src/front/http/server.hpp
@@ -18,26 +18,26 @@
 namespace cometdeal::net {
 
 // The query in a request, or the HTTP status and the error text to reject the request with.
-struct ReadQuery {
+struct ParsedQuery {
   int status = 0;  // 0: the request is valid and `query` is set
   std::string error;
   NewQuery query;
 };
 // Validates a request to /api or /api/KEY. `receivedAt`: when its first byte arrived, on the loop's clock.
-ReadQuery readQuery(const HttpMessage& request, const HostSettings& host, Micros receivedAt);
+ParsedQuery parseQuery(const HttpMessage& request, const HostSettings& host, Micros receivedAt);
 // The HTTP response for a final answer. `close`: the connection ends after it.
 std::string writeAnswer(const FinalAnswer& answer, bool close);
 
 // Serves HTTP/1.1 clients on one listener, up to a maximum number of connections.
-class Clients {
+class HttpServer {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  Clients(Loop& loop, Counters& counters, Mixer& mixer, int maxConnections);
+  HttpServer(Loop& loop, Counters& counters, Mixer& mixer, int maxConnections);
   void listen(const Address& address);  // throws boost::system::system_error; port 0 selects a free port
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
   // In place of listen(): accepts from an inherited socket that listens on `address` and that another process
-  // also accepts from. Takes ownership of the descriptor. Throws BadConfig if it is not such a socket.
+  // also accepts from. Takes ownership of the descriptor. Throws ConfigError if it is not such a socket.
   void adoptListener(int descriptor, const Address& address);
   bool accepting() const { return acceptor_.is_open() && !draining_; }
   // From now on /up answers 503, and queries get their final answer by `answerBy` at the latest. A shared
@@ -101,7 +101,7 @@
   bool sharedListener_ = false;  // another process also accepts from the listener
   Micros answerBy_ = INT64_MAX;
   std::optional<Deadlines::Key> acceptRetry_;
-  Slots<Connection> connections_;
+  SharedSlotTable<Connection> connections_;
 };
 
 }  // namespace cometdeal::net
--- a/src/grpc/routes.cpp
+++ b/src/grpc/routes.cpp
@@ -24,14 +24,14 @@
 Route readRoute(StrictYaml at, const std::vector<std::string>& classes,
                 const std::vector<ClassSettings>& settings) {
   Route out;
-  const StrictYaml method = at.need("method");
+  const StrictYaml method = at.require("method");
   out.method = method.string();
   const std::size_t slash = out.method.rfind('/');
   if (out.method[0] != '/' || slash == 0 || slash == std::string::npos || slash + 1 == out.method.size() ||
       out.method.find('/', 1) != slash)
     method.fail("expected a method such as /package.Service/Method or /package.Service/*, found '" +
                 out.method + "'");
-  const StrictYaml cls = at.need("class");
+  const StrictYaml cls = at.require("class");
   const auto found = std::ranges::find(classes, cls.string());
   if (found == classes.end()) {
     std::string all;
@@ -40,8 +40,8 @@
   }
   out.cls = int(found - classes.begin());
   const ClassSettings& classSettings = settings[std::size_t(out.cls)];
-  out.kind =
-      MethodKind(at.need("kind").choice({"unary", "server_streaming", "client_streaming", "bidi_streaming"}));
+  out.kind = MethodKind(
+      at.require("kind").choice({"unary", "server_streaming", "client_streaming", "bidi_streaming"}));
   if (const auto key = at.find("key")) out.key = readMetadataName(*key);
   if (const auto shard = at.find("shard")) out.shard = readMetadataName(*shard);
   if (const auto key = at.find("idempotency_key")) out.idempotencyKey = readMetadataName(*key);
@@ -51,9 +51,9 @@
   if (classSettings.effect == Effect::keyed && out.repeat && out.idempotencyKey.empty())
     at.fail("the class '" + cls.string() +
             "' is keyed: set idempotency_key to the name of the entry with the key, or set repeat: false");
-  if (classSettings.followUp > 0)
+  if (classSettings.secondStepParts > 0)
     cls.fail("the class '" + cls.string() + "' has a second step, which gRPC calls do not support");
-  at.done();
+  at.rejectUnknownKeys();
   return out;
 }
 
@@ -66,23 +66,23 @@
 Config read(StrictYaml at, const std::vector<std::string>& classes,
             const std::vector<ClassSettings>& settings) {
   Config out;
-  out.listen = at.need("listen").address();
+  out.listen = at.require("listen").address();
   if (auto limits = at.find("limits")) {
     readNumber(*limits, "connections", out.maxConnections, 1, 1'000'000);
     readNumber(*limits, "streams_per_connection", out.streamsPerConnection, 1, 100'000);
-    readNumber(*limits, "message_bytes", out.messageMost, 1, 1 << 30);
-    readNumber(*limits, "metadata_bytes", out.metadataMost, 256, 1 << 20);
+    readNumber(*limits, "message_bytes", out.maxMessageBytes, 1, 1 << 30);
+    readNumber(*limits, "metadata_bytes", out.maxMetadataBytes, 256, 1 << 20);
     readNumber(*limits, "replay_bytes", out.maxReplayBytes, 0, 1 << 30);
-    readNumber(*limits, "stream_window_bytes", out.streamWindow, 1024, 1 << 30);
-    limits->done();
+    readNumber(*limits, "stream_window_bytes", out.streamWindowBytes, 1024, 1 << 30);
+    limits->rejectUnknownKeys();
   }
   if (auto leaves = at.find("leaves")) {
     readNumber(*leaves, "port_offset", out.leafPortOffset, -65535, 65535);
     readNumber(*leaves, "connections", out.connectionsPerLeaf, 1, 64);
     if (const auto span = leaves->find("keepalive")) out.keepalive = span->duration(100'000, kMaxDuration);
-    leaves->done();
+    leaves->rejectUnknownKeys();
   }
-  const StrictYaml routes = at.need("routes");
+  const StrictYaml routes = at.require("routes");
   std::set<std::string> seen;
   for (const StrictYaml& one : routes.list()) {
     out.routes.push_back(readRoute(one, classes, settings));
@@ -90,7 +90,7 @@
       one.fail("the method '" + out.routes.back().method + "' has 2 routes");
   }
   if (out.routes.empty()) routes.fail("expected at least one route");
-  at.done();
+  at.rejectUnknownKeys();
   return out;
 }
 
@@ -106,12 +106,12 @@
 
 Config readConfig(const std::string& text, const std::string& name, const std::vector<std::string>& classes,
                   const std::vector<ClassSettings>& settings) {
-  return read(StrictYaml::text(text, name), classes, settings);
+  return read(StrictYaml::fromText(text, name), classes, settings);
 }
 
 Config readConfigFile(const std::string& path, const std::vector<std::string>& classes,
                       const std::vector<ClassSettings>& settings) {
-  return read(StrictYaml::file(path), classes, settings);
+  return read(StrictYaml::fromFile(path), classes, settings);
 }
 
 }  // namespace cometdeal::grpc
--- a/src/grpc/routes.hpp
+++ b/src/grpc/routes.hpp
@@ -35,13 +35,13 @@
   int maxConnections = 256;  // of clients
   int streamsPerConnection = 100;
   int connectionsPerLeaf = 2;
-  std::size_t messageMost = 4UL << 20;     // bytes of one message
-  std::size_t metadataMost = 16UL * 1024;  // bytes of names and values, plus 32 for each entry
+  std::size_t maxMessageBytes = 4UL << 20;     // bytes of one message
+  std::size_t maxMetadataBytes = 16UL * 1024;  // bytes of names and values, plus 32 for each entry
   // Bytes of a streamed request that are retained for replay by another attempt. A call with a longer request
   // stays with the attempt it has.
   std::size_t maxReplayBytes = 1UL << 20;
-  std::int32_t streamWindow = 64 * 1024;  // bytes of a stream's body that may wait for a slow reader
-  int leafPortOffset = 0;                 // a leaf server's gRPC port minus the port that discovery gives
+  std::int32_t streamWindowBytes = 64 * 1024;  // bytes of a stream's body that may wait for a slow reader
+  int leafPortOffset = 0;  // a leaf server's gRPC port minus the port that discovery gives
   // A connection to a leaf server that has outstanding calls and receives nothing for this time is sent a
   // PING.
   Micros keepalive = 5'000'000;
@@ -51,8 +51,8 @@
   const Route* find(const std::string& path) const;
 };
 
-// Parses the configuration; throws net::BadConfig. `name` is the file name for error messages. `classes` and
-// `settings` are the names and settings of the mixer's classes, in the same order.
+// Parses the configuration; throws net::ConfigError. `name` is the file name for error messages. `classes`
+// and `settings` are the names and settings of the mixer's classes, in the same order.
 Config readConfig(const std::string& text, const std::string& name, const std::vector<std::string>& classes,
                   const std::vector<ClassSettings>& settings);
 Config readConfigFile(const std::string& path, const std::vector<std::string>& classes,
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -51,7 +51,7 @@
 HttpParser::State HttpParser::fail(int status) {
   step_ = Step::bad;
   error_ = status;
-  return State::bad;
+  return State::malformed;
 }
 
 // Collects a line, without its end, in line_. Returns false if the line is not complete yet, or if the bound
@@ -81,14 +81,14 @@
       message_.body.append(in.substr(0, n));
       in.remove_prefix(n);
       left_ -= n;
-      if (left_ > 0) return State::more;
+      if (left_ > 0) return State::needMore;
       step_ = step_ == Step::length ? Step::done : Step::chunkEnd;
       continue;
     }
-    if (in.empty()) return State::more;
+    if (in.empty()) return State::needMore;
     if (!takeLine(in)) {
       if (step_ == Step::bad) break;
-      return State::more;
+      return State::needMore;
     }
     switch (step_) {
       case Step::start:
@@ -111,7 +111,7 @@
     }
     line_.clear();
   }
-  return step_ == Step::done ? State::done : State::bad;
+  return step_ == Step::done ? State::done : State::malformed;
 }
 
 HttpMessage HttpParser::take() {
--- a/src/http/http.hpp
+++ b/src/http/http.hpp
@@ -24,18 +24,18 @@
 class HttpParser {
  public:
   enum class Kind { request, response };
-  enum class State { more, done, bad };  // the message is incomplete, complete, malformed
+  enum class State { needMore, done, malformed };  // the message is incomplete, complete, malformed
 
   explicit HttpParser(Kind kind, std::size_t maxBodyBytes = 64UL * 1024)
       : kind_(kind), maxBodyBytes_(maxBodyBytes) {}
 
   // Removes from the front of `in` the bytes that belong to the current message, and no more. After `done`,
-  // take() returns the message and the parser starts over; after `bad` no more bytes are read.
+  // take() returns the message and the parser starts over; after `malformed` no more bytes are read.
   State feed(std::string_view& in);
   HttpMessage take();
   // Whether some bytes of the current message have been read.
   bool begun() const { return step_ != Step::start || !line_.empty(); }
-  int errorStatus() const { return error_; }  // after `bad`: the HTTP status to reject the request with
+  int errorStatus() const { return error_; }  // after `malformed`: the HTTP status to reject the request with
 
  private:
   enum class Step { start, headers, length, chunkSize, chunkData, chunkEnd, trailers, done, bad };
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -90,11 +90,11 @@
           session.events_.push_back(Trailers{id, std::move(s.fields)});
         else
           session.events_.push_back(Headers{id, std::move(s.fields), end});
-        if (end) session.events_.push_back(End{id});
+        if (end) session.events_.push_back(EndStream{id});
         break;
       }
       case NGHTTP2_DATA:
-        if (end) session.events_.push_back(End{id});
+        if (end) session.events_.push_back(EndStream{id});
         break;
       case NGHTTP2_RST_STREAM:
         session.countOverheadFrame();
@@ -141,7 +141,7 @@
     const std::int32_t id = frame->hd.stream_id;
     if (frame->hd.type == NGHTTP2_HEADERS) session.headersInChunk_.push_back(id);
     const auto at = session.streams_.find(id);
-    if (at != session.streams_.end() && at->second.closeWhenSaid &&
+    if (at != session.streams_.end() && at->second.resetWhenFinished &&
         (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) &&
         (frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA) &&
         nghttp2_session_get_stream_remote_close(native, id) == 0) {
@@ -186,7 +186,7 @@
           nghttp2_submit_trailer(native, id, fields.data(), fields.size());
         }
       } else if (n > 0) {
-        session.events_.push_back(Room{id});
+        session.events_.push_back(SendBufferEmpty{id});
       } else {
         return NGHTTP2_ERR_DEFERRED;
       }
@@ -222,8 +222,8 @@
   nghttp2_session_callbacks_del(callbacks);
 
   std::vector<nghttp2_settings_entry> settings{
-      {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, std::uint32_t(limits_.streams)},
-      {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, std::uint32_t(limits_.streamWindow)},
+      {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, std::uint32_t(limits_.maxConcurrentStreams)},
+      {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, std::uint32_t(limits_.streamWindowBytes)},
       {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, std::uint32_t(limits_.maxFieldsBytes)}};
   if (role_ == Role::client) settings.push_back({NGHTTP2_SETTINGS_ENABLE_PUSH, 0});
   nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
@@ -267,7 +267,7 @@
   return true;
 }
 
-std::string_view Session::front() {
+std::string_view Session::nextBytes() {
   if (outputAt_ < output_.size()) return std::string_view(output_).substr(outputAt_);
   output_.clear();
   outputAt_ = 0;
@@ -285,7 +285,7 @@
   return output_;
 }
 
-void Session::wrote(std::size_t bytes) {
+void Session::bytesWritten(std::size_t bytes) {
   outputAt_ += bytes;
   bytesWritten_ += bytes;
 }
@@ -344,8 +344,8 @@
   nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, stream, std::uint32_t(code));
 }
 
-void Session::closeWhenSaid(std::int32_t stream) {
-  if (const auto at = streams_.find(stream); at != streams_.end()) at->second.closeWhenSaid = true;
+void Session::resetWhenFinished(std::int32_t stream) {
+  if (const auto at = streams_.find(stream); at != streams_.end()) at->second.resetWhenFinished = true;
 }
 
 std::size_t Session::buffered(std::int32_t stream) const {
@@ -370,7 +370,7 @@
                         std::uint32_t(code), nullptr, 0);
 }
 
-void Session::goawayBelow(std::int32_t stream) {
+void Session::goawayRefusing(std::int32_t stream) {
   if (!failed_) nghttp2_submit_goaway(session_, NGHTTP2_FLAG_NONE, std::max(0, stream - 2), 0, nullptr, 0);
 }
 
--- a/src/http2/session.hpp
+++ b/src/http2/session.hpp
@@ -2,8 +2,8 @@
 // received bytes are passed in, bytes to send are taken out, and everything that happens is returned as an
 // event.
 //
-// Flow control: the sender of a body checks buffered() and waits for the event Room. The flow-control window
-// of a received body is reopened only when the owner calls consumed().
+// Flow control: the sender of a body checks buffered() and waits for the event SendBufferEmpty. The
+// flow-control window of a received body is reopened only when the owner calls consumed().
 #pragma once
 
 #include <cstdint>
@@ -48,8 +48,9 @@
 
 // What this end allows the other end.
 struct Limits {
-  int streams = 100;                        // concurrent streams that the other end may open
-  std::int32_t streamWindow = 64 * 1024;    // bytes of one body that may arrive before consumed() is called
+  int maxConcurrentStreams = 100;  // concurrent streams that the other end may open
+  std::int32_t streamWindowBytes =
+      64 * 1024;                            // bytes of one body that may arrive before consumed() is called
   std::int32_t connectionWindow = 1 << 20;  // bytes of all bodies that may be in flight on the connection
   // Bytes of one list of header or trailer fields: names and values, plus 32 for each field.
   std::size_t maxFieldsBytes = 16UL * 1024;
@@ -79,11 +80,11 @@
     std::string bytes;
   };
   // The other end has sent END_STREAM.
-  struct End {
+  struct EndStream {
     std::int32_t stream = 0;
   };
   // The body passed to write() so far has been put into frames; more may be written.
-  struct Room {
+  struct SendBufferEmpty {
     std::int32_t stream = 0;
   };
   // The stream is closed, because both ends have finished or either has reset it. Its state is discarded.
@@ -93,14 +94,15 @@
     bool local = false;  // this end has reset it
   };
   struct Goaway {
-    std::int32_t last = 0;  // the other end has not processed streams above this one and will not do so
+    std::int32_t lastStream = 0;  // the other end has not processed streams above this one and will not do so
     Code code = Code::none;
   };
   // A PING of this end is acknowledged.
   struct Pong {};
   // The other end's SETTINGS have arrived.
   struct PeerSettings {};
-  using Event = std::variant<Headers, Trailers, Data, End, Room, Closed, Goaway, Pong, PeerSettings>;
+  using Event =
+      std::variant<Headers, Trailers, Data, EndStream, SendBufferEmpty, Closed, Goaway, Pong, PeerSettings>;
 
   Session(Role role, Limits limits);
   ~Session();
@@ -112,16 +114,16 @@
   // of any monotonic clock.
   bool received(std::string_view bytes, std::int64_t now);
   // The events since the previous call.
-  std::vector<Event> take() { return std::exchange(events_, {}); }
+  std::vector<Event> takeEvents() { return std::exchange(events_, {}); }
   bool hasEvents() const { return !events_.empty(); }
   const std::string& closeReason() const { return closeReason_; }
   bool failed() const { return failed_; }
 
   // The next bytes for the socket; empty if there is nothing to send. The view is valid until the next call.
   // It can cause events.
-  std::string_view front();
+  std::string_view nextBytes();
   // Reports how many of those bytes the socket accepted.
-  void wrote(std::size_t bytes);
+  void bytesWritten(std::size_t bytes);
   bool wantsWrite() const;
   // Nothing more is to be read or written on the connection.
   bool finished() const;
@@ -139,7 +141,7 @@
   void reset(std::int32_t stream, Code code);
   // If the other end is still sending when this end has sent its END_STREAM, resets the stream with NO_ERROR:
   // the rest of the request is not needed.
-  void closeWhenSaid(std::int32_t stream);
+  void resetWhenFinished(std::int32_t stream);
   // Bytes of the stream's outgoing body that are not in frames yet.
   std::size_t buffered(std::int32_t stream) const;
   // Reopens the stream's flow-control window by this many bytes of received body.
@@ -151,7 +153,7 @@
   void sendShutdownNotice();
   void goaway(Code code = Code::none);
   // Sends a GOAWAY that reports this stream and all later ones as not processed.
-  void goawayBelow(std::int32_t stream);
+  void goawayRefusing(std::int32_t stream);
 
   // Open streams.
   std::size_t streams() const { return streams_.size(); }
@@ -166,7 +168,7 @@
     std::string outgoing;  // body to send; the first outgoingAt bytes are in frames already
     std::size_t outgoingAt = 0;
     bool finished = false, headersReceived = false, bodyOpen = false, responded = false, localReset = false,
-         closeWhenSaid = false;
+         resetWhenFinished = false;
     std::optional<Fields> trailers;
     Fields fields;  // of the list that is being received
     std::size_t fieldsBytes = 0;
--- a/src/leaf/composite_side.hpp
+++ b/src/leaf/composite_side.hpp
@@ -8,12 +8,13 @@
 namespace cometdeal::net {
 
 // `texts` gets the calls that carry a text, `exchanges` those that carry an exchange.
-class LeafSides : public LeafSide {
+class CompositeLeafSide : public LeafSide {
  public:
-  LeafSides(LeafSide& texts, LeafSide& exchanges) : texts_(texts), exchanges_(exchanges) {
-    texts_.onEnded = exchanges_.onEnded = [this](Handle attempt, Outcome outcome, LeafAnswer answer) {
-      if (onEnded) onEnded(attempt, outcome, std::move(answer));
-    };
+  CompositeLeafSide(LeafSide& texts, LeafSide& exchanges) : texts_(texts), exchanges_(exchanges) {
+    texts_.onAttemptEnded =
+        exchanges_.onAttemptEnded = [this](Handle attempt, Outcome outcome, LeafAnswer answer) {
+          if (onAttemptEnded) onAttemptEnded(attempt, outcome, std::move(answer));
+        };
   }
   void update(const LeafEntry& entry) override {
     texts_.update(entry);
@@ -33,9 +34,9 @@
     if (!calls.empty()) texts_.send(server, std::move(calls));
     if (!exchanges.empty()) exchanges_.send(server, std::move(exchanges));
   }
-  void giveUp(Handle attempt) override {
-    texts_.giveUp(attempt);
-    exchanges_.giveUp(attempt);
+  void abandon(Handle attempt) override {
+    texts_.abandon(attempt);
+    exchanges_.abandon(attempt);
   }
   void withdraw(Handle attempt) override {
     texts_.withdraw(attempt);
--- a/src/leaf/frame/connections.cpp
+++ b/src/leaf/frame/connections.cpp
@@ -19,19 +19,20 @@
 
 }  // namespace
 
-LinkLimits linkLimits(const HostSettings& host, const Settings& settings, int maxConnections) {
-  LinkLimits out;
+FrameConnectionLimits frameConnectionLimits(const HostSettings& host, const Settings& settings,
+                                            int maxConnections) {
+  FrameConnectionLimits out;
   out.connectTimeout = host.connectTimeout;
-  out.connIdle = settings.connIdle.value_or(0);
-  out.streams = host.streams;
-  out.maxPartsPerCall = settings.bundleMax;
-  out.linksMost = maxConnections;
+  out.idleTimeout = settings.connectionIdleTimeout.value_or(0);
+  out.partsPerConnection = host.partsPerConnection;
+  out.maxPartsPerCall = settings.maxPartsPerCall;
+  out.maxConnections = maxConnections;
   return out;
 }
 
 // ---- The list of leaf servers ----------------------------------------------------------------------------
 
-void Links::update(const LeafEntry& entry) {
+void FrameConnections::update(const LeafEntry& entry) {
   Server& s = servers_[entry.name];
   const bool addressChanged = entry.state != ServerState::gone && s.entry.address != entry.address;
   const Address previousAddress = s.entry.address;
@@ -42,10 +43,10 @@
     Connection* c = connections_.get(h);
     if (!c) continue;
     // A part none of whose bytes is written counts as not sent, and must not be sent to a draining server.
-    if (entry.state != ServerState::serving && !PLANTED(drainCrossesSend)) failWaiting(*c);
+    if (entry.state != ServerState::serving && !FAULT_INJECTED(drainCrossesSend)) failWaiting(*c);
     // On a connection that is older than its server's last start no more answers arrive, even if no reset was
     // received. The list lags behind, so the connection may also be newer than that start; then it is kept.
-    if (c->state == ConnectionState::up && entry.sinceMs > c->upAtMs)
+    if (c->state == ConnectionState::up && entry.startedUnixMs > c->upAtMs)
       closeConnection(*c, "the server has restarted", true);
     else if (c->liveParts == 0 && (addressChanged || entry.state == ServerState::gone))
       closeConnection(*c, "the server has another address or was removed", true);
@@ -53,7 +54,7 @@
   forgetRemovedServer(entry.name);
 }
 
-void Links::keepOnly(const std::vector<LeafEntry>& entries) {
+void FrameConnections::keepOnly(const std::vector<LeafEntry>& entries) {
   std::vector<LeafEntry> removed;
   for (const auto& known : servers_)
     if (std::ranges::none_of(entries, [&](const LeafEntry& e) { return e.name == known.first; }))
@@ -66,7 +67,7 @@
 
 // A server that is replaced comes back under a new id, so the entry of a removed server is erased once its
 // last connection is closed; otherwise the map would grow without bound.
-void Links::forgetRemovedServer(const std::string& server) {
+void FrameConnections::forgetRemovedServer(const std::string& server) {
   const auto at = servers_.find(server);
   if (at != servers_.end() && at->second.entry.state == ServerState::gone && at->second.connections.empty())
     servers_.erase(at);
@@ -74,7 +75,7 @@
 
 // ---- Attempts --------------------------------------------------------------------------------------------
 
-void Links::send(const std::string& server, std::vector<Call> calls) {
+void FrameConnections::send(const std::string& server, std::vector<Call> calls) {
   while (!calls.empty()) {
     const std::size_t n = std::min(calls.size(), std::size_t(std::max(1, limits_.maxPartsPerCall)));
     std::vector<Call> bundle(std::make_move_iterator(calls.begin()),
@@ -82,7 +83,8 @@
     calls.erase(calls.begin(), calls.begin() + std::ptrdiff_t(n));
     const auto at = servers_.find(server);
     Connection* c = nullptr;
-    if (at != servers_.end() && (at->second.entry.state == ServerState::serving || PLANTED(drainCrossesSend)))
+    if (at != servers_.end() &&
+        (at->second.entry.state == ServerState::serving || FAULT_INJECTED(drainCrossesSend)))
       c = pickConnection(at->second, bundle);
     if (!c) {
       for (const Call& call : bundle) endAttempt(call.attempt, Outcome::connectFailed);
@@ -90,7 +92,7 @@
     }
     QueuedFrame frame;
     for (const Call& call : bundle) {
-      attempts_[number(call.attempt)] = {c->self, call.id};
+      attempts_[toNumber(call.attempt)] = {c->self, call.id};
       c->parts[call.id] = PartState{call.attempt, SendState::waiting, false, now_};
       c->queuedBytes += call.text->size() + kPartHeaderBytes;
     }
@@ -108,7 +110,8 @@
 // Returns the first connection with free capacity. While connections break often, returns the one with the
 // fewest parts instead, since a break fails every part on the connection. A connection on which the answer of
 // an earlier attempt of a part may still arrive is not used for a newer attempt: both have the same id.
-Links::Connection* Links::pickConnection(Server& server, const std::vector<Call>& calls) {
+FrameConnections::Connection* FrameConnections::pickConnection(Server& server,
+                                                               const std::vector<Call>& calls) {
   Connection* firstSilent = nullptr;
   Connection* leastLoaded = nullptr;
   int silentCount = 0, usableCount = 0;
@@ -116,9 +119,9 @@
   for (const Handle h : server.connections) {
     Connection* c = connections_.get(h);
     if (!c || c->address != server.entry.address) continue;
-    if (c->liveParts + int(calls.size()) > limits_.streams) continue;
+    if (c->liveParts + int(calls.size()) > limits_.partsPerConnection) continue;
     if (c->reader.partial() && c->liveParts == 0) continue;  // received bytes though none were expected
-    if (!PLANTED(sharedId) &&
+    if (!FAULT_INJECTED(sharedId) &&
         std::ranges::any_of(calls, [&](const Call& call) { return c->parts.contains(call.id); }))
       continue;
     if (isSilent(*c)) {
@@ -131,7 +134,7 @@
     if (!leastLoaded || c->liveParts < leastLoaded->liveParts) leastLoaded = c;
   }
   if (leastLoaded && (leastLoaded->liveParts == 0 || usableCount >= limits_.maxSpreadConnections ||
-                      int(connections_.size()) * 4 >= limits_.linksMost * 3))
+                      int(connections_.size()) * 4 >= limits_.maxConnections * 3))
     return leastLoaded;
   // A connection can be dead without notice while its server is well, so one more is opened. If that one is
   // silent too, the fault is with the server, and further connections to it would be silent as well.
@@ -140,21 +143,21 @@
   return opened ? opened : leastLoaded ? leastLoaded : firstSilent;
 }
 
-bool Links::shouldSpread() const {
-  return limits_.spreadAfter > 0 &&
-         recentBreaks_ * std::exp(-double(now_ - lastBreakAt_) / kBreakDecayUs) >= limits_.spreadAfter;
+bool FrameConnections::shouldSpread() const {
+  return limits_.spreadThreshold > 0 &&
+         recentBreaks_ * std::exp(-double(now_ - lastBreakAt_) / kBreakDecayUs) >= limits_.spreadThreshold;
 }
 
-bool Links::isSilent(const Connection& c) const {
+bool FrameConnections::isSilent(const Connection& c) const {
   if (c.outstandingSince == 0 || (c.liveParts == 0 && c.sendsSinceReceived <= kUnansweredTolerated))
     return false;
   const double threshold = meanAnswerTime_ + kSilentDeviations * answerTimeDeviation_;
-  return now_ - c.outstandingSince > std::clamp(Micros(threshold), limits_.silentLeast, limits_.silentMost);
+  return now_ - c.outstandingSince > std::clamp(Micros(threshold), limits_.minSilence, limits_.maxSilence);
 }
 
 // Removes a part that is still waiting, as if it had never been on the connection. Returns false, and changes
 // nothing, if the part is not on the connection or some of its bytes are written.
-bool Links::removeWaiting(Connection& c, const std::string& id) {
+bool FrameConnections::removeWaiting(Connection& c, const std::string& id) {
   const auto part = c.parts.find(id);
   if (part == c.parts.end() || part->second.state != SendState::waiting) return false;
   for (auto frame = c.queue.begin(); frame != c.queue.end(); ++frame) {
@@ -173,7 +176,7 @@
 }
 
 // Ends the attempts that are still waiting as not sent.
-void Links::failWaiting(Connection& c) {
+void FrameConnections::failWaiting(Connection& c) {
   std::vector<std::pair<std::string, Handle>> waiting;
   for (const auto& [id, part] : c.parts)
     if (part.state == SendState::waiting) waiting.emplace_back(id, part.attempt);
@@ -184,7 +187,7 @@
 }
 
 // Ends attempts at the front of the queue whose time to begin (`startBy`) has passed.
-void Links::failOverdue(Connection& c) {
+void FrameConnections::failOverdue(Connection& c) {
   while (!c.queue.empty() && c.queue.front().written == 0) {
     const std::vector<Call>& calls = c.queue.front().calls;
     const auto late = std::ranges::find_if(calls, [&](const Call& call) { return now_ >= call.startBy; });
@@ -195,8 +198,8 @@
   }
 }
 
-void Links::giveUp(Handle attempt) {
-  const auto at = attempts_.find(number(attempt));
+void FrameConnections::abandon(Handle attempt) {
+  const auto at = attempts_.find(toNumber(attempt));
   if (at == attempts_.end()) return;
   const Location location = at->second;
   attempts_.erase(at);
@@ -204,7 +207,7 @@
   if (!c) return;
   const auto part = c->parts.find(location.id);
   if (part == c->parts.end() || part->second.attempt != attempt || removeWaiting(*c, location.id)) return;
-  if (!PLANTED(stallMeetsTimeout)) part->second.abandoned = true;
+  if (!FAULT_INJECTED(stallMeetsTimeout)) part->second.abandoned = true;
   --c->liveParts;
   QueuedFrame frame;
   frame.bytes = writeFrame('K', location.id);
@@ -216,29 +219,29 @@
 }
 
 // The query has its final answer: a part of it that is still waiting is not sent any more.
-void Links::withdraw(Handle attempt) {
-  const auto at = attempts_.find(number(attempt));
+void FrameConnections::withdraw(Handle attempt) {
+  const auto at = attempts_.find(toNumber(attempt));
   if (at == attempts_.end()) return;
-  if (PLANTED(sendAfterAnswer)) return;
+  if (FAULT_INJECTED(sendAfterAnswer)) return;
   Connection* c = connections_.get(at->second.connection);
   if (!c || !removeWaiting(*c, at->second.id)) return;
-  count(Count::withdrawn);
+  count(Counter::withdrawn);
   endAttempt(attempt, Outcome::cancelled);
 }
 
-void Links::forget(const std::string& id) {
+void FrameConnections::forget(const std::string& id) {
   for (const Handle h : connections_.all()) {
     Connection* c = connections_.get(h);
     const auto at = c->parts.find(id);
-    // A part that is begun must still be written completely, and wrote() finds it by its id.
+    // A part that is begun must still be written completely, and bytesWritten() finds it by its id.
     if (at == c->parts.end() || !at->second.abandoned || at->second.state != SendState::written) continue;
     addPastId(*c, id);
     c->parts.erase(at);
   }
 }
 
-void Links::endAttempt(Handle attempt, Outcome outcome, LeafAnswer answer) {
-  attempts_.erase(number(attempt));
+void FrameConnections::endAttempt(Handle attempt, Outcome outcome, LeafAnswer answer) {
+  attempts_.erase(toNumber(attempt));
   effects_.push_back(Ended{attempt, outcome, std::move(answer)});
 }
 
@@ -246,7 +249,7 @@
 
 // Called at the limit of connections: closes an idle one, since a part would otherwise fail for want of a
 // descriptor. Returns false if no connection is idle.
-bool Links::closeOldestIdle() {
+bool FrameConnections::closeOldestIdle() {
   Connection* oldest = nullptr;
   for (const Handle h : connections_.all()) {
     Connection* c = connections_.get(h);
@@ -257,22 +260,22 @@
   return oldest != nullptr;
 }
 
-Links::Connection* Links::openConnection(Server& server) {
-  if (int(connections_.size()) >= limits_.linksMost && !closeOldestIdle()) return nullptr;
+FrameConnections::Connection* FrameConnections::openConnection(Server& server) {
+  if (int(connections_.size()) >= limits_.maxConnections && !closeOldestIdle()) return nullptr;
   const Handle h = connections_.add();
   Connection* c = connections_.get(h);
   c->self = h;
   c->openOrder = ++openedCount_;
   c->server = server.entry.name;
   c->address = server.entry.address;
-  count(Count::leafConnections);
+  count(Counter::leafConnections);
   server.connections.push_back(h);
   c->timeout = timers_.add(now_ + limits_.connectTimeout, {Timer::Kind::connectTimeout, h});
   effects_.push_back(Open{h, c->address});
   return c;
 }
 
-void Links::cameUp(Handle connection, std::int64_t unixMs) {
+void FrameConnections::connected(Handle connection, std::int64_t unixMs) {
   Connection* c = connections_.get(connection);
   if (!c || c->state != ConnectionState::connecting) return;
   c->state = ConnectionState::up;
@@ -281,7 +284,7 @@
   effects_.push_back(Flush{connection});
 }
 
-std::string_view Links::front(Handle connection) {
+std::string_view FrameConnections::nextBytes(Handle connection) {
   Connection* c = connections_.get(connection);
   if (!c || c->state != ConnectionState::up || c->blocked) return {};
   failOverdue(*c);
@@ -290,8 +293,8 @@
   if (!frame.calls.empty() && frame.written == 0) {
     std::string content;
     for (const Call& call : frame.calls) {
-      const Micros left = std::max<Micros>(1, (call.until - now_) / 1000);
-      content += writePart(call.id, call.shard, "d=" + std::to_string(left) + call.list, *call.text);
+      const Micros left = std::max<Micros>(1, (call.deadline - now_) / 1000);
+      content += writePart(call.id, call.shard, "d=" + std::to_string(left) + call.extraFields, *call.text);
     }
     frame.bytes = writeFrame('D', content);
   }
@@ -300,7 +303,7 @@
 
 // Tracks how many bytes of each part the kernel has accepted: when the connection breaks, that distinguishes
 // "could not connect" (the part cannot have run) from "reset".
-void Links::wrote(Handle connection, std::size_t bytes) {
+void FrameConnections::bytesWritten(Handle connection, std::size_t bytes) {
   Connection* c = connections_.get(connection);
   if (!c || bytes == 0 || c->queue.empty()) return;
   restartIdleTimeout(*c);
@@ -319,7 +322,7 @@
   }
   if (frame.written < frame.bytes.size()) return;
   for (const Call& call : frame.calls) {
-    count(Count::forwards);
+    count(Counter::forwards);
     c->queuedBytes -= std::min(c->queuedBytes, call.text->size() + kPartHeaderBytes);
     if (const auto part = c->parts.find(call.id); part != c->parts.end())
       part->second.state = SendState::written;
@@ -328,11 +331,11 @@
   c->queue.pop_front();
 }
 
-void Links::blocked(Handle connection) {
+void FrameConnections::writeBlocked(Handle connection) {
   if (Connection* c = connections_.get(connection)) c->blocked = true;
 }
 
-void Links::writable(Handle connection) {
+void FrameConnections::writable(Handle connection) {
   Connection* c = connections_.get(connection);
   if (!c) return;
   c->blocked = false;
@@ -341,21 +344,21 @@
 
 // Called on any traffic. A connection with parts outstanding is not idle: when the time-out fires it stays
 // open.
-void Links::restartIdleTimeout(Connection& c) {
-  timers_.drop(c.timeout);
-  if (limits_.connIdle <= 0) return;
-  const Micros timeout = std::max(limits_.connIdle / 2, limits_.connIdle - limits_.idleMargin);
+void FrameConnections::restartIdleTimeout(Connection& c) {
+  timers_.cancel(c.timeout);
+  if (limits_.idleTimeout <= 0) return;
+  const Micros timeout = std::max(limits_.idleTimeout / 2, limits_.idleTimeout - limits_.idleMargin);
   c.timeout = timers_.add(now_ + timeout, {Timer::Kind::idleTimeout, c.self});
 }
 
-void Links::sweep() {
-  const std::uint64_t mark = timers_.mark();
-  while (const std::optional<Timer> timer = timers_.takeDue(now_, mark)) {
+void FrameConnections::runDueTimers() {
+  const std::uint64_t mark = timers_.lastSequence();
+  while (const std::optional<Timer> timer = timers_.popDue(now_, mark)) {
     Connection* c = connections_.get(timer->connection);
     if (!c) continue;
     if (timer->kind == Timer::Kind::frameTimeout) {
       c->frameTimeout.reset();
-      count(Count::badFrames);
+      count(Counter::badFrames);
       closeConnection(*c, "the rest of a frame did not arrive in time", false);
       continue;
     }
@@ -367,7 +370,7 @@
   }
 }
 
-void Links::received(Handle connection, std::string_view bytes) {
+void FrameConnections::received(Handle connection, std::string_view bytes) {
   Connection* c = connections_.get(connection);
   if (!c) return;
   restartIdleTimeout(*c);
@@ -377,14 +380,14 @@
   Frame frame;
   while ((c = connections_.get(connection))) {
     const FrameReader::State state = c->reader.next(frame);
-    if (state == FrameReader::State::more) return updateFrameTimeout(*c);
+    if (state == FrameReader::State::needMore) return updateFrameTimeout(*c);
     std::optional<LeafAnswer> answer;
     if (state == FrameReader::State::frame) answer = readAnswer(frame);
     if (answer && handleAnswer(*c, *answer)) continue;
     if (state == FrameReader::State::frame && (frame.letter == 'I' || frame.letter == 'U')) continue;
-    count(Count::badFrames);
-    say("bad frame from " + c->server + ": " + (frame.letter ? frame.letter : '?') + " " +
-        frame.rest.substr(0, 60));
+    count(Counter::badFrames);
+    log("bad frame from " + c->server + ": " + (frame.letter ? frame.letter : '?') + " " +
+        frame.content.substr(0, 60));
     return closeConnection(*c, "bad frame", false);
   }
 }
@@ -393,18 +396,18 @@
 // to cannot be determined and would wait for its time-out, so the caller closes the connection. The answer of
 // an abandoned attempt and a duplicate answer are not faults. An answer to a part that is not completely
 // written is one: no leaf server can have produced it.
-bool Links::handleAnswer(Connection& c, LeafAnswer& answer) {
+bool FrameConnections::handleAnswer(Connection& c, LeafAnswer& answer) {
   auto at = c.parts.find(answer.id);
-  if (PLANTED(foreignValue) && !c.parts.empty()) at = c.parts.begin();
+  if (FAULT_INJECTED(foreignValue) && !c.parts.empty()) at = c.parts.begin();
   if (at == c.parts.end()) {
     if (!isPastId(c, answer.id)) return false;
-    count(Count::lateAnswers);
+    count(Counter::lateAnswers);
     return true;
   }
   if (at->second.state != SendState::written) return false;
   if (at->second.abandoned) {
-    count(Count::lateAnswers);
-    if (!PLANTED(lateReplyCounts)) {
+    count(Counter::lateAnswers);
+    if (!FAULT_INJECTED(lateReplyCounts)) {
       c.parts.erase(at);
       addPastId(c, answer.id);
       return true;
@@ -425,25 +428,25 @@
   return connections_.get(self) != nullptr;
 }
 
-bool Links::isPastId(const Connection& c, const std::string& id) {
+bool FrameConnections::isPastId(const Connection& c, const std::string& id) {
   return std::ranges::find(c.pastIds, std::hash<std::string>()(id)) != c.pastIds.end();
 }
 
-void Links::addPastId(Connection& c, const std::string& id) const {
+void FrameConnections::addPastId(Connection& c, const std::string& id) const {
   if (isPastId(c, id)) return;
   c.pastIds.push_back(std::hash<std::string>()(id));
-  if (c.pastIds.size() > limits_.pastMost) c.pastIds.erase(c.pastIds.begin());
+  if (c.pastIds.size() > limits_.maxPastIds) c.pastIds.erase(c.pastIds.begin());
 }
 
 // The time-out runs from the first bytes of a frame; further bytes of the same frame do not extend it.
-void Links::updateFrameTimeout(Connection& c) {
-  if (!c.reader.partial()) return timers_.drop(c.frameTimeout);
+void FrameConnections::updateFrameTimeout(Connection& c) {
+  if (!c.reader.partial()) return timers_.cancel(c.frameTimeout);
   if (c.frameTimeout) return;
-  c.frameTimeout = timers_.add(now_ + limits_.frameTime, {Timer::Kind::frameTimeout, c.self});
+  c.frameTimeout = timers_.add(now_ + limits_.frameTimeout, {Timer::Kind::frameTimeout, c.self});
 }
 
 // Updates the smoothed answer time, then closes connections that this answer shows to be dead.
-void Links::recordAnswerTime(Connection& c, Micros sentAt) {
+void FrameConnections::recordAnswerTime(Connection& c, Micros sentAt) {
   const double time = double(now_ - sentAt);
   if (meanAnswerTime_ <= 0) {
     meanAnswerTime_ = time;
@@ -457,7 +460,7 @@
 
 // `answering` has just received an answer. Connections to the same server that are older and silent are
 // closed, and their parts end as timed out rather than wait for their own time-outs.
-void Links::closeOlderSilent(Connection& answering) {
+void FrameConnections::closeOlderSilent(Connection& answering) {
   const auto at = servers_.find(answering.server);
   if (at == servers_.end() || at->second.connections.size() < 2) return;
   const std::vector<Handle> handles = at->second.connections;
@@ -467,23 +470,24 @@
     if (!c || c == &answering || c->openOrder > answering.openOrder || !isSilent(*c)) continue;
     anySilent = true;
     if (answering.answersWhileOlderSilent + 1 < kAnswersToCloseOlder) continue;
-    count(Count::leafConnectionsSilent);
+    count(Counter::leafConnectionsSilent);
     closeConnection(*c, "silent while a newer connection to the server gets answers", false,
                     Outcome::timedOut);
   }
   answering.answersWhileOlderSilent = anySilent ? answering.answersWhileOlderSilent + 1 : 0;
 }
 
-void Links::failed(Handle connection, const char* reason) {
+void FrameConnections::failed(Handle connection, const char* reason) {
   if (Connection* c = connections_.get(connection))
     closeConnection(*c, reason, c->state == ConnectionState::up && c->liveParts == 0);
 }
 
 // Every connection ends here, and with it every attempt on it. `expected`: not a fault, so neither logged nor
 // counted. `writtenOutcome`: of the attempts that are completely written.
-void Links::closeConnection(Connection& c, const char* reason, bool expected, Outcome writtenOutcome) {
-  timers_.drop(c.timeout);
-  timers_.drop(c.frameTimeout);
+void FrameConnections::closeConnection(Connection& c, const char* reason, bool expected,
+                                       Outcome writtenOutcome) {
+  timers_.cancel(c.timeout);
+  timers_.cancel(c.frameTimeout);
   const bool up = c.state == ConnectionState::up;
   effects_.push_back(Close{c.self, up && (!expected || c.outstandingSince != 0)});
   if (up && !expected && c.liveParts > 0) {
@@ -491,12 +495,12 @@
     lastBreakAt_ = now_;
   }
   if (!expected) {
-    count(up ? Count::leafConnectionsLost : Count::leafConnectsFailed);
-    say("connection to " + c.server + " ended: " + reason);
+    count(up ? Counter::leafConnectionsLost : Counter::leafConnectsFailed);
+    log("connection to " + c.server + " ended: " + reason);
   }
   for (const auto& [id, part] : c.parts) {
     if (part.abandoned) continue;
-    const bool fullyWritten = part.state == SendState::written && !PLANTED(resetTakenForConnect);
+    const bool fullyWritten = part.state == SendState::written && !FAULT_INJECTED(resetTakenForConnect);
     endAttempt(part.attempt, fullyWritten ? writtenOutcome : Outcome::connectFailed);
   }
   const std::string server = c.server;
@@ -505,7 +509,7 @@
   forgetRemovedServer(server);
 }
 
-void Links::closeIdle(const std::string& server) {
+void FrameConnections::closeIdle(const std::string& server) {
   const auto at = servers_.find(server);
   if (at == servers_.end()) return;
   const std::vector<Handle> handles = at->second.connections;
@@ -514,21 +518,21 @@
       closeConnection(*c, "idle, closed on request", true);
 }
 
-void Links::closeAll() {
+void FrameConnections::closeAll() {
   for (const Handle h : connections_.all())
     closeConnection(*connections_.get(h), "the program is shutting down", true);
 }
 
 // ---- For the checker -------------------------------------------------------------------------------------
 
-std::vector<Handle> Links::all() const {
+std::vector<Handle> FrameConnections::connections() const {
   std::vector<Handle> out;
   for (const auto& [name, server] : servers_)
     out.insert(out.end(), server.connections.begin(), server.connections.end());
   return out;
 }
 
-std::vector<Handle> Links::frontAttempts(Handle connection) const {
+std::vector<Handle> FrameConnections::nextFrameAttempts(Handle connection) const {
   std::vector<Handle> out;
   const Connection* c = connections_.get(connection);
   if (!c || c->queue.empty()) return out;
@@ -536,24 +540,24 @@
   return out;
 }
 
-bool Links::frontBegun(Handle connection) const {
+bool FrameConnections::nextFrameBegun(Handle connection) const {
   const Connection* c = connections_.get(connection);
   return c && !c->queue.empty() && c->queue.front().written > 0;
 }
 
-void Links::digest(Digest& to, const std::function<std::string(Handle)>& name) const {
+void FrameConnections::digest(Digest& to, const std::function<std::string(Handle)>& name) const {
   std::map<std::uint64_t, std::uint32_t> position;  // of each connection, in the order of the digest
   for (const auto& [id, server] : servers_) {
-    to << id << server.entry.state << server.entry.sinceMs << server.entry.address.port;
+    to << id << server.entry.state << server.entry.startedUnixMs << server.entry.address.port;
     for (const Handle h : server.connections) {
       const Connection* c = connections_.get(h);
       if (!c) continue;
-      position[number(h)] = std::uint32_t(position.size());
-      to << '+' << c->state << c->blocked << c->address.port << (c->upAtMs < server.entry.sinceMs)
+      position[toNumber(h)] = std::uint32_t(position.size());
+      to << '+' << c->state << c->blocked << c->address.port << (c->upAtMs < server.entry.startedUnixMs)
          << c->liveParts << std::min(c->sendsSinceReceived, kUnansweredTolerated + 1)
          << c->answersWhileOlderSilent;
       to << (c->outstandingSince != 0);
-      if (c->outstandingSince != 0) to.time(std::max(c->outstandingSince, now_ - limits_.silentMost - 1));
+      if (c->outstandingSince != 0) to.time(std::max(c->outstandingSince, now_ - limits_.maxSilence - 1));
       for (const auto& [id, part] : c->parts) to << id << name(part.attempt) << part.state << part.abandoned;
       to << '/';
       for (const QueuedFrame& frame : c->queue) {
@@ -564,16 +568,16 @@
           if (call.startBy != INT64_MAX) to.time(std::max(call.startBy, now_));
         }
       }
-      to << c->reader.held() << std::uint32_t(c->pastIds.size());
+      to << c->reader.unread() << std::uint32_t(c->pastIds.size());
       for (const std::size_t hash : c->pastIds) to << hash;
     }
   }
   for (const auto& [key, timer] : timers_.entries()) {
     to.time(key.first) << timer.kind;
-    if (const auto at = position.find(number(timer.connection)); at != position.end()) to << at->second;
+    if (const auto at = position.find(toNumber(timer.connection)); at != position.end()) to << at->second;
   }
   to << std::uint32_t(attempts_.size());
-  if (limits_.silentLeast != limits_.silentMost) to << meanAnswerTime_ << answerTimeDeviation_;
+  if (limits_.minSilence != limits_.maxSilence) to << meanAnswerTime_ << answerTimeDeviation_;
 }
 
 }  // namespace cometdeal::net
--- a/src/leaf/frame/connections.hpp
+++ b/src/leaf/frame/connections.hpp
@@ -22,11 +22,11 @@
 #include <string>
 #include <vector>
 
-#include "core/timer_queue.hpp"
 #include "core/counters.hpp"
 #include "core/digest.hpp"
 #include "core/interfaces.hpp"
 #include "core/slot_table.hpp"
+#include "core/timer_queue.hpp"
 #include "frame.hpp"
 #include "leaf/protocol.hpp"
 
@@ -34,80 +34,81 @@
 
 // Times are in microseconds. Values with a default here are this program's own choice; the others come from
 // the settings.
-struct LinkLimits {
+struct FrameConnectionLimits {
   Micros connectTimeout = 0;
-  Micros connIdle = 0;      // the leaf server closes a connection that is idle for so long; 0: never
-  int streams = 1;          // parts that a connection carries at once
-  int maxPartsPerCall = 1;  // parts that share a call
-  int linksMost = 256;      // connections in all
-  // A connection is closed this much before connIdle: bytes written at or after that limit would be answered
-  // with a reset.
+  Micros idleTimeout = 0;      // the leaf server closes a connection that is idle for so long; 0: never
+  int partsPerConnection = 1;  // parts that a connection carries at once
+  int maxPartsPerCall = 1;     // parts that share a call
+  int maxConnections = 256;    // connections in all
+  // A connection is closed this much before idleTimeout: bytes written at or after that limit would be
+  // answered with a reset.
   Micros idleMargin = 500'000;
   // Time for the rest of a frame whose first bytes were received: a frame with a wrong length would swallow
   // the frames after it.
-  Micros frameTime = 200'000;
+  Micros frameTimeout = 200'000;
   // Bounds of the time after which a connection with answers outstanding counts as silent. Between them it is
   // computed from the answer times as TCP computes its retransmission time-out.
-  Micros silentLeast = 250'000, silentMost = 3'000'000;
+  Micros minSilence = 250'000, maxSilence = 3'000'000;
   // Bytes that may be queued on one connection. Beyond them it counts as broken, so that a leaf server that
   // does not read cannot exhaust the memory.
   std::size_t maxQueuedBytes = 4UL << 20;
   // Once this many connections (a decaying count) have recently broken with parts outstanding, the parts for
   // a server are spread over several connections; 0: never.
-  double spreadAfter = 3;
+  double spreadThreshold = 3;
   int maxSpreadConnections = 6;  // connections to a server while parts are spread
   // Ids of ended parts that a connection remembers: an answer to one of them is late or a duplicate.
-  std::size_t pastMost = 512;
+  std::size_t maxPastIds = 512;
 };
 
 // The limits that follow from the settings; `maxConnections`: to all servers together.
-LinkLimits linkLimits(const HostSettings& host, const Settings& settings, int maxConnections);
+FrameConnectionLimits frameConnectionLimits(const HostSettings& host, const Settings& settings,
+                                            int maxConnections);
 
 enum class ConnectionState : std::uint8_t { connecting, up };
 enum class SendState : std::uint8_t { waiting, begun, written };
 
-// The frame protocol's side of `LeafMachine`; see there for the methods that it overrides.
-class Links : public LeafMachine {
+// The frame protocol's side of `LeafProtocol`; see there for the methods that it overrides.
+class FrameConnections : public LeafProtocol {
  public:
-  Links(LinkLimits limits, Counters* counters) : limits_(limits), counters_(counters) {}
+  FrameConnections(FrameConnectionLimits limits, Counters* counters) : limits_(limits), counters_(counters) {}
 
   // From the core.
   void update(const LeafEntry& entry) override;
   void keepOnly(const std::vector<LeafEntry>& entries) override;
   void send(const std::string& server, std::vector<Call> calls) override;
-  void giveUp(Handle attempt) override;
+  void abandon(Handle attempt) override;
   void withdraw(Handle attempt) override;
   void forget(const std::string& id) override;
   void closeIdle(const std::string& server) override;
   void closeAll() override;
 
   // From the sockets.
-  void cameUp(Handle connection, std::int64_t unixMs) override;
-  std::string_view front(Handle connection) override;
-  void wrote(Handle connection, std::size_t bytes) override;
-  void blocked(Handle connection) override;
+  void connected(Handle connection, std::int64_t unixMs) override;
+  std::string_view nextBytes(Handle connection) override;
+  void bytesWritten(Handle connection, std::size_t bytes) override;
+  void writeBlocked(Handle connection) override;
   void writable(Handle connection) override;
   void received(Handle connection, std::string_view bytes) override;
   void failed(Handle connection, const char* reason) override;
 
-  std::optional<Micros> next() const override { return timers_.next(); }
-  void sweep() override;
+  std::optional<Micros> nextTimer() const override { return timers_.nextDue(); }
+  void runDueTimers() override;
 
-  std::size_t size() const override { return connections_.size(); }
-  std::size_t places() const { return attempts_.size(); }
-  std::size_t due() const { return timers_.size(); }
+  std::size_t connectionCount() const override { return connections_.size(); }
+  std::size_t attemptCount() const { return attempts_.size(); }
+  std::size_t timerCount() const { return timers_.size(); }
 
   // For the checker.
   // The connections, in an order that is the same for equivalent states.
-  std::vector<Handle> all() const;
-  // The attempts in the frame that front() returns bytes of; empty if that frame is not a call.
-  std::vector<Handle> frontAttempts(Handle connection) const;
+  std::vector<Handle> connections() const;
+  // The attempts in the frame that nextBytes() returns bytes of; empty if that frame is not a call.
+  std::vector<Handle> nextFrameAttempts(Handle connection) const;
   // Whether some bytes of that frame are written.
-  bool frontBegun(Handle connection) const;
+  bool nextFrameBegun(Handle connection) const;
   // Appends the whole state. `name` gives each attempt a name that does not depend on its slot.
   void digest(Digest& to, const std::function<std::string(Handle)>& name) const;
-  void countTo(Counters* counters) { counters_ = counters; }
-  void limit(const LinkLimits& limits) { limits_ = limits; }  // open connections stay
+  void setCounters(Counters* counters) { counters_ = counters; }
+  void setLimits(const FrameConnectionLimits& limits) { limits_ = limits; }  // open connections stay
 
  private:
   struct Timer {
@@ -144,9 +145,9 @@
     std::list<QueuedFrame> queue;
     std::size_t queuedBytes = 0;  // approximate
     FrameReader reader;
-    std::optional<Agenda<Timer>::Key> timeout;       // of connecting, later of being idle
-    std::optional<Agenda<Timer>::Key> frameTimeout;  // of a frame received in part
-    std::vector<std::size_t> pastIds;                // hashes of ids whose answers may come late or twice
+    std::optional<TimerQueue<Timer>::Key> timeout;       // of connecting, later of being idle
+    std::optional<TimerQueue<Timer>::Key> frameTimeout;  // of a frame received in part
+    std::vector<std::size_t> pastIds;                    // hashes of ids whose answers may come late or twice
   };
   struct Location {  // of an attempt
     Handle connection;
@@ -177,13 +178,13 @@
                        Outcome writtenOutcome = Outcome::reset);
   void forgetRemovedServer(const std::string& server);
   void endAttempt(Handle attempt, Outcome outcome, LeafAnswer answer = {});
-  void count(Count what) { counters_->add(what); }
+  void count(Counter what) { counters_->add(what); }
 
-  LinkLimits limits_;
+  FrameConnectionLimits limits_;
   Counters* counters_;
   std::map<std::string, Server> servers_;
-  Table<Connection> connections_;
-  Agenda<Timer> timers_;
+  SlotTable<Connection> connections_;
+  TimerQueue<Timer> timers_;
   std::uint64_t openedCount_ = 0;
   // Smoothed time of an answer and its mean deviation in microseconds, computed as TCP does for its
   // retransmission time-out.
--- a/src/leaf/frame/frame.cpp
+++ b/src/leaf/frame/frame.cpp
@@ -31,7 +31,7 @@
     if (equals == std::string_view::npos || !number(item.substr(equals + 1), value) ||
         !std::isfinite(value) || value < 0)
       return std::nullopt;
-    if (item.substr(0, equals) == "inflight") load.held = value;
+    if (item.substr(0, equals) == "inflight") load.active = value;
     if (item.substr(0, equals) == "queue") load.waiting = value;
   }
   return load;
@@ -83,7 +83,7 @@
 }
 
 std::optional<LeafAnswer> readAnswer(const Frame& frame) {
-  const std::string_view content = frame.rest;
+  const std::string_view content = frame.content;
   const std::size_t end = content.find('\n');
   if (frame.letter != 'O' || end == std::string_view::npos) return std::nullopt;
   std::string_view fields[4], line = content.substr(0, end);
@@ -117,26 +117,26 @@
   if (buffer_.size() - from_ < 4) {
     buffer_.erase(0, from_);
     from_ = 0;
-    return State::more;
+    return State::needMore;
   }
   std::uint32_t length = 0;
   for (int k = 0; k < 4; ++k)
     length |= std::uint32_t(static_cast<unsigned char>(buffer_[from_ + std::size_t(k)])) << (8 * k);
-  if (length == 0 || length > kMaxFrameBytes) return State::bad;
+  if (length == 0 || length > kMaxFrameBytes) return State::malformed;
   // A frame that is visibly malformed is rejected before it is complete: it would swallow the answers after
   // it.
   const std::string_view received = std::string_view(buffer_).substr(from_ + 4, std::size_t(length));
-  if (!received.empty() && letters_.find(received[0]) == std::string_view::npos) return State::bad;
+  if (!received.empty() && letters_.find(received[0]) == std::string_view::npos) return State::malformed;
   if (received.size() > kMaxLineBytes && received[0] == 'O' &&
       received.substr(0, kMaxLineBytes).find('\n') == std::string_view::npos)
-    return State::bad;
+    return State::malformed;
   if (buffer_.size() - from_ < 4 + std::size_t(length)) {
     buffer_.erase(0, from_);
     from_ = 0;
-    return State::more;
+    return State::needMore;
   }
   out.letter = buffer_[from_ + 4];
-  out.rest.assign(buffer_, from_ + 5, length - 1);
+  out.content.assign(buffer_, from_ + 5, length - 1);
   from_ += 4 + std::size_t(length);
   return State::frame;
 }
--- a/src/leaf/frame/frame.hpp
+++ b/src/leaf/frame/frame.hpp
@@ -15,8 +15,8 @@
 namespace cometdeal::net {
 
 struct Frame {
-  char letter = 0;   // the kind
-  std::string rest;  // the content after the letter
+  char letter = 0;      // the kind
+  std::string content;  // the content after the letter
 };
 
 // The bytes of a frame.
@@ -31,15 +31,15 @@
 // Splits the bytes that are received on a connection into frames.
 class FrameReader {
  public:
-  enum class State { more, frame, bad };  // no complete frame yet, a frame was read, malformed
+  enum class State { needMore, frame, malformed };  // no complete frame yet, a frame was read, malformed
   // `letters`: the kinds of frames that the other side may send.
   explicit FrameReader(std::string_view letters = "OZIU") : letters_(letters) {}
   void append(std::string_view bytes) { buffer_.append(bytes); }
-  // Reads the next frame into `out` if it is complete. After `bad` the connection is of no more use.
+  // Reads the next frame into `out` if it is complete. After `malformed` the connection is of no more use.
   State next(Frame& out);
-  bool partial() const { return buffer_.size() > from_; }  // after `more`: a frame is received in part
+  bool partial() const { return buffer_.size() > from_; }  // after `needMore`: a frame is received in part
   // The bytes that are not read as frames yet; for the checker.
-  std::string_view held() const { return std::string_view(buffer_).substr(from_); }
+  std::string_view unread() const { return std::string_view(buffer_).substr(from_); }
 
  private:
   std::string_view letters_;
--- a/src/leaf/grpc/channels.cpp
+++ b/src/leaf/grpc/channels.cpp
@@ -45,7 +45,8 @@
   for (const Handle h : handles) {
     Channel* c = channels_.get(h);
     if (!c) continue;
-    if (c->connected && entry.sinceMs > c->connectedAtMs) {  // connected to an earlier run of the server
+    if (c->connected &&
+        entry.startedUnixMs > c->connectedAtMs) {  // connected to an earlier run of the server
       closeChannel(*c, "its server has restarted", true);
       continue;
     }
@@ -89,7 +90,7 @@
       reportEnded(call.attempt, Outcome::busy);  // no free stream; the call has not been sent
       continue;
     }
-    attempts_[number(call.attempt)] = {c->self, 0};
+    attempts_[toNumber(call.attempt)] = {c->self, 0};
     if (c->connected)
       beginCall(*c, std::move(call));
     else
@@ -113,35 +114,35 @@
       leastLoaded = c;
   }
   if (leastLoaded) return leastLoaded;
-  if (usable >= limits_.connectionsPerLeaf || int(channels_.size()) >= limits_.connectionsMost)
-    return nullptr;
+  if (usable >= limits_.connectionsPerLeaf || int(channels_.size()) >= limits_.maxConnections) return nullptr;
   const Handle h = channels_.add();
   Channel& c = *channels_.get(h);
   c.self = h;
   c.server = server.entry.name;
   c.address = server.entry.address;
   http2::Limits limits;
-  limits.streamWindow = limits_.streamWindow;
-  limits.maxFieldsBytes = limits_.metadataMost;
+  limits.streamWindowBytes = limits_.streamWindowBytes;
+  limits.maxFieldsBytes = limits_.maxMetadataBytes;
   c.session = std::make_unique<Session>(Session::Role::client, limits);
   server.channels.push_back(h);
   c.connectionTimer = timers_.add(now_ + limits_.connectTimeout, {Timer::Kind::connect, h});
-  count(Count::leafConnections);
+  count(Counter::leafConnections);
   effects_.push_back(Open{h, c.address});
   return &c;
 }
 
 void Channels::beginCall(Channel& c, Call call) {
-  const auto location = attempts_.find(number(call.attempt));
+  const auto location = attempts_.find(toNumber(call.attempt));
   if (location == attempts_.end()) return;
   if (now_ >= call.startBy) return reportEnded(call.attempt, Outcome::connectFailed);
   Fields fields{{":method", "POST"}, {":scheme", "http"}};
-  const Fields& head = call.exchange->request.head;
+  const Fields& head = call.exchange->request.headers;
   for (const auto& field : head)
     if (field.first[0] == ':') fields.push_back(field);
   fields.emplace_back("te", "trailers");
-  fields.emplace_back("grpc-timeout", grpc::formatTimeout(call.until - now_));
-  if (call.number > 0) fields.emplace_back("grpc-previous-rpc-attempts", std::to_string(call.number));
+  fields.emplace_back("grpc-timeout", grpc::formatTimeout(call.deadline - now_));
+  if (call.attemptNumber > 0)
+    fields.emplace_back("grpc-previous-rpc-attempts", std::to_string(call.attemptNumber));
   for (const auto& field : head)
     if (field.first[0] != ':') fields.push_back(field);
   const auto id = c.session->open(fields, false);
@@ -154,8 +155,8 @@
   s.attempt = call.attempt;
   s.exchange = std::move(call.exchange);
   s.requestSubscription =
-      s.exchange->request.listen([this, h = c.self, stream = *id] { markDirty(h, stream); });
-  s.messages.emplace(limits_.messageMost, true);
+      s.exchange->request.subscribe([this, h = c.self, stream = *id] { markDirty(h, stream); });
+  s.messages.emplace(limits_.maxMessageBytes, true);
   updateTimers(c);
   pumpStream(c, *id);
   effects_.push_back(Flush{c.self});
@@ -166,7 +167,7 @@
   if (!c) return;
   if (std::ranges::find(c->dirty, id) == c->dirty.end()) c->dirty.push_back(id);
   effects_.push_back(Flush{connection});
-  if (wake) wake();
+  if (onWake) onWake();
 }
 
 void Channels::pumpStream(Channel& c, std::int32_t id) {
@@ -174,43 +175,44 @@
   if (at == c.streams.end()) return;
   Stream& s = at->second;
   if (s.reply) {
-    if (s.reply->stopped()) {
+    if (s.reply->cancelled()) {
       c.session->reset(id, Code::cancel);
       unsubscribe(s);
       c.streams.erase(at);
       return;
     }
-    if (s.exchange->streamed && s.reply->begin() > s.replyWindowFreed) {
-      c.session->consumed(id, std::size_t(s.reply->begin() - s.replyWindowFreed));
-      s.replyWindowFreed = s.reply->begin();
+    if (s.exchange->streamed && s.reply->startOffset() > s.replyWindowFreed) {
+      c.session->consumed(id, std::size_t(s.reply->startOffset() - s.replyWindowFreed));
+      s.replyWindowFreed = s.reply->startOffset();
     }
   }
   if (s.requestFinished) return;
-  Flow& request = s.exchange->request;
-  if (request.state() == Flow::State::broken) {  // the client is gone; the core abandons the attempt
+  MessageStream& request = s.exchange->request;
+  if (request.state() == MessageStream::State::failed) {  // the client is gone; the core abandons the attempt
     c.session->reset(id, Code::cancel);
     return;
   }
-  if (s.requestSent < request.begin()) {  // bytes of it were dropped after a faster attempt had read them
+  if (s.requestSent <
+      request.startOffset()) {  // bytes of it were dropped after a faster attempt had read them
     c.session->reset(id, Code::cancel);
     if (s.attemptOpen) endWithStatus(s, {Outcome::error, Status::unavailable});
     return;
   }
   while (c.session->buffered(id) < kMaxBufferedRequestBytes) {
-    const std::string_view piece = request.from(s.requestSent).substr(0, kMaxBufferedRequestBytes);
+    const std::string_view piece = request.readFrom(s.requestSent).substr(0, kMaxBufferedRequestBytes);
     if (piece.empty()) break;
     c.session->write(id, piece);
     s.requestSent += piece.size();
-    request.taken(s.requestSent);
+    request.consumeTo(s.requestSent);
   }
-  if (request.state() == Flow::State::ended && s.requestSent == request.length()) {
+  if (request.state() == MessageStream::State::ended && s.requestSent == request.endOffset()) {
     s.requestFinished = true;
     c.session->finish(id);
   }
 }
 
-void Channels::giveUp(Handle attempt) {
-  const auto at = attempts_.find(number(attempt));
+void Channels::abandon(Handle attempt) {
+  const auto at = attempts_.find(toNumber(attempt));
   if (at == attempts_.end()) return;
   const AttemptLocation location = at->second;
   attempts_.erase(at);
@@ -227,55 +229,55 @@
 }
 
 void Channels::withdraw(Handle attempt) {
-  const auto at = attempts_.find(number(attempt));
+  const auto at = attempts_.find(toNumber(attempt));
   if (at == attempts_.end()) return;
   const Channel* c = channels_.get(at->second.connection);
   if (!c || (at->second.stream != 0 && c->session->headersWritten(at->second.stream))) return;
-  giveUp(attempt);
-  count(Count::withdrawn);
+  abandon(attempt);
+  count(Counter::withdrawn);
   effects_.push_back(Ended{attempt, Outcome::cancelled, {}});
 }
 
 void Channels::unsubscribe(Stream& s) {
-  if (s.exchange) s.exchange->request.unlisten(s.requestSubscription);
-  if (s.reply) s.reply->onRoom = s.reply->onStopped = nullptr;
+  if (s.exchange) s.exchange->request.unsubscribe(s.requestSubscription);
+  if (s.reply) s.reply->onSpace = s.reply->onCancelled = nullptr;
 }
 
 void Channels::reportEnded(Handle attempt, Outcome outcome, LeafAnswer answer) {
-  attempts_.erase(number(attempt));
+  attempts_.erase(toNumber(attempt));
   answer.outcome = outcome;
   effects_.push_back(Ended{attempt, outcome, std::move(answer)});
 }
 
 // ---- Connections -----------------------------------------------------------------------------------------
 
-void Channels::cameUp(Handle connection, std::int64_t unixMs) {
+void Channels::connected(Handle connection, std::int64_t unixMs) {
   Channel* c = channels_.get(connection);
   if (!c) return;
   c->connected = true;
   c->connectedAtMs = unixMs;
   c->lastReceivedAt = now_;
-  timers_.drop(c->connectionTimer);
+  timers_.cancel(c->connectionTimer);
   for (Call& call : std::exchange(c->waiting, {})) beginCall(*c, std::move(call));
   updateTimers(*c);
   effects_.push_back(Flush{connection});
 }
 
-std::string_view Channels::front(Handle connection) {
+std::string_view Channels::nextBytes(Handle connection) {
   for (;;) {
     Channel* c = channels_.get(connection);
     if (!c || !c->connected || c->writeBlocked) return {};
     processEvents(*c);
     c = channels_.get(connection);
     if (!c) return {};
-    const std::string_view bytes = c->session->front();
+    const std::string_view bytes = c->session->nextBytes();
     if (!bytes.empty() || !c->session->hasEvents()) return bytes;
   }
 }
-void Channels::wrote(Handle connection, std::size_t bytes) {
-  if (Channel* c = channels_.get(connection)) c->session->wrote(bytes);
+void Channels::bytesWritten(Handle connection, std::size_t bytes) {
+  if (Channel* c = channels_.get(connection)) c->session->bytesWritten(bytes);
 }
-void Channels::blocked(Handle connection) {
+void Channels::writeBlocked(Handle connection) {
   if (Channel* c = channels_.get(connection)) c->writeBlocked = true;
 }
 void Channels::writable(Handle connection) {
@@ -304,7 +306,7 @@
 void Channels::processEvents(Channel& c) {
   const Handle self = c.self;
   while (c.session->hasEvents() || !c.dirty.empty()) {
-    for (Session::Event& event : c.session->take()) {
+    for (Session::Event& event : c.session->takeEvents()) {
       handleEvent(c, event);
       if (!channels_.get(self)) return;
     }
@@ -322,7 +324,7 @@
     return onHeaders(c, first->stream, std::move(first->fields), first->end);
   if (auto* last = std::get_if<Session::Trailers>(&event))
     return onTrailers(c, last->stream, std::move(last->fields));
-  if (const auto* room = std::get_if<Session::Room>(&event)) return pumpStream(c, room->stream);
+  if (const auto* room = std::get_if<Session::SendBufferEmpty>(&event)) return pumpStream(c, room->stream);
   if (const auto* data = std::get_if<Session::Data>(&event)) {
     const auto at = c.streams.find(data->stream);
     if (at == c.streams.end() || !at->second.reply)
@@ -338,8 +340,8 @@
     s.reply->push(data->bytes);
     if (!s.exchange->streamed) {
       c.session->consumed(data->stream, data->bytes.size());
-      if (s.reply->held() <= limits_.messageMost + 5) return;  // 5: the prefix of the message
-      c.session->reset(data->stream, Code::cancel);            // more than one message
+      if (s.reply->buffered() <= limits_.maxMessageBytes + 5) return;  // 5: the prefix of the message
+      c.session->reset(data->stream, Code::cancel);                    // more than one message
       return onStreamClosed(c, data->stream, {Outcome::error, Status::resourceExhausted});
     }
     return;
@@ -352,10 +354,10 @@
   if (const auto* away = std::get_if<Session::Goaway>(&event)) {
     c.draining = true;
     for (const Call& call : std::exchange(c.waiting, {})) reportEnded(call.attempt, Outcome::connectFailed);
-    if (away->code != Code::none) say("connection to " + c.server + ": GOAWAY, " + http2::name(away->code));
+    if (away->code != Code::none) log("connection to " + c.server + ": GOAWAY, " + http2::name(away->code));
     return;
   }
-  if (std::get_if<Session::Pong>(&event)) timers_.drop(c.keepaliveTimer);
+  if (std::get_if<Session::Pong>(&event)) timers_.cancel(c.keepaliveTimer);
 }
 
 void Channels::onHeaders(Channel& c, std::int32_t id, Fields fields, bool end) {
@@ -371,10 +373,10 @@
     c.session->reset(id, Code::cancel);
     return onStreamClosed(c, id, {Outcome::error, Status::resourceExhausted});
   }
-  s.reply = std::make_shared<Flow>(false);
+  s.reply = std::make_shared<MessageStream>(false);
   if (end) return onTrailers(c, id, std::move(fields));
-  s.reply->head = withoutPseudoFields(std::move(fields));
-  s.reply->onRoom = s.reply->onStopped = [this, h = c.self, id] { markDirty(h, id); };
+  s.reply->headers = withoutPseudoFields(std::move(fields));
+  s.reply->onSpace = s.reply->onCancelled = [this, h = c.self, id] { markDirty(h, id); };
   // A streamed answer is passed on to the client from its header fields on.
   if (s.exchange->streamed) endAttempt(s, Outcome::done);
 }
@@ -382,7 +384,7 @@
 void Channels::endAttempt(Stream& s, Outcome outcome) {
   if (!std::exchange(s.attemptOpen, false)) return;
   LeafAnswer answer;
-  answer.reply = std::make_shared<FlowReader>(s.reply);
+  answer.reply = std::make_shared<MessageReader>(s.reply);
   reportEnded(s.attempt, outcome, std::move(answer));
 }
 
@@ -395,7 +397,7 @@
   const std::string* digits = http2::find(trailers, kStatusField);
   const auto status = digits ? grpc::parseStatus(*digits) : std::nullopt;
   if (!status) return onStreamClosed(c, id, {Outcome::error, Status::unknown});
-  s.reply->onRoom = s.reply->onStopped = nullptr;
+  s.reply->onSpace = s.reply->onCancelled = nullptr;
   s.reply->end(std::move(trailers));
   endAttempt(s, grpc::resultOfStatus(*status).outcome);
   // The rest of the request is not needed any more.
@@ -416,8 +418,8 @@
 
 void Channels::endWithStatus(Stream& s, grpc::AttemptResult result) {
   const bool replyStarted = s.reply && !s.attemptOpen;  // the client has received part of it
-  if (!s.reply) s.reply = std::make_shared<Flow>(false);
-  s.reply->onRoom = s.reply->onStopped = nullptr;
+  if (!s.reply) s.reply = std::make_shared<MessageStream>(false);
+  s.reply->onSpace = s.reply->onCancelled = nullptr;
   s.reply->end(
       statusFields(result.status, replyStarted ? "the stream broke off" : "no answer from the leaf server"));
   endAttempt(s, result.outcome);
@@ -429,19 +431,19 @@
   if (!c.connected) return;
   const bool busy = !c.streams.empty() || !c.waiting.empty();
   if (busy)
-    timers_.drop(c.connectionTimer);
-  else if (!c.connectionTimer && limits_.connIdle > 0)
-    c.connectionTimer = timers_.add(now_ + limits_.connIdle, {Timer::Kind::idle, c.self});
+    timers_.cancel(c.connectionTimer);
+  else if (!c.connectionTimer && limits_.idleTimeout > 0)
+    c.connectionTimer = timers_.add(now_ + limits_.idleTimeout, {Timer::Kind::idle, c.self});
   if (!busy)
-    timers_.drop(c.keepaliveTimer);
+    timers_.cancel(c.keepaliveTimer);
   else if (!c.keepaliveTimer && limits_.keepalive > 0)
     c.keepaliveTimer =
         timers_.add(std::max(now_, c.lastReceivedAt + limits_.keepalive), {Timer::Kind::keepalive, c.self});
 }
 
-void Channels::sweep() {
-  const std::uint64_t mark = timers_.mark();
-  while (const std::optional<Timer> due = timers_.takeDue(now_, mark)) {
+void Channels::runDueTimers() {
+  const std::uint64_t mark = timers_.lastSequence();
+  while (const std::optional<Timer> due = timers_.popDue(now_, mark)) {
     Channel* c = channels_.get(due->connection);
     if (!c) continue;
     switch (due->kind) {
@@ -475,12 +477,12 @@
 }
 
 void Channels::closeChannel(Channel& c, const char* reason, bool expected) {
-  timers_.drop(c.connectionTimer);
-  timers_.drop(c.keepaliveTimer);
+  timers_.cancel(c.connectionTimer);
+  timers_.cancel(c.keepaliveTimer);
   effects_.push_back(Close{c.self, c.connected && !expected});
   if (!expected) {
-    count(c.connected ? Count::leafConnectionsLost : Count::leafConnectsFailed);
-    say("connection to " + c.server + " ended: " + reason);
+    count(c.connected ? Counter::leafConnectionsLost : Counter::leafConnectsFailed);
+    log("connection to " + c.server + " ended: " + reason);
   }
   for (const Call& call : c.waiting) reportEnded(call.attempt, Outcome::connectFailed);
   for (auto& [id, s] : c.streams) {
--- a/src/leaf/grpc/channels.hpp
+++ b/src/leaf/grpc/channels.hpp
@@ -8,7 +8,7 @@
 //   may
 //               finish, then the channel is closed
 //
-// An attempt ends with the first of: its answer, a reset, the end of the connection, giveUp. The answer is
+// An attempt ends with the first of: its answer, a reset, the end of the connection, abandon. The answer is
 // complete with its trailers; a streamed answer ends the attempt with its header fields already, and the
 // stream then continues without the attempt until either end closes it.
 #pragma once
@@ -20,9 +20,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/timer_queue.hpp"
 #include "core/counters.hpp"
 #include "core/slot_table.hpp"
+#include "core/timer_queue.hpp"
 #include "grpc/protocol.hpp"
 #include "http2/session.hpp"
 #include "leaf/protocol.hpp"
@@ -31,21 +31,21 @@
 
 struct ChannelLimits {
   Micros connectTimeout = 1'000'000;
-  Micros connIdle = 0;  // a connection without streams is closed after this time; 0: never
+  Micros idleTimeout = 0;  // a connection without streams is closed after this time; 0: never
   // A connection that has streams and receives nothing for `keepalive` is sent a PING (0: never). If it
   // receives nothing for another `pingTimeout`, it is closed.
   Micros keepalive = 0;
   Micros pingTimeout = 2'000'000;
   int connectionsPerLeaf = 2;
-  int connectionsMost = 256;               // to all leaf servers
-  int portOffset = 0;                      // a leaf server's gRPC port minus the port that discovery gives
-  std::size_t messageMost = 4UL << 20;     // bytes of one message
-  std::size_t metadataMost = 16UL * 1024;  // bytes of the header or trailer fields of an answer
-  std::int32_t streamWindow = 64 * 1024;   // bytes of an answer that may wait for a slow client
+  int maxConnections = 256;                 // to all leaf servers
+  int portOffset = 0;                       // a leaf server's gRPC port minus the port that discovery gives
+  std::size_t maxMessageBytes = 4UL << 20;  // bytes of one message
+  std::size_t maxMetadataBytes = 16UL * 1024;  // bytes of the header or trailer fields of an answer
+  std::int32_t streamWindowBytes = 64 * 1024;  // bytes of an answer that may wait for a slow client
 };
 
-// Sends calls to leaf servers by gRPC. See LeafMachine for the interface.
-class Channels : public LeafMachine {
+// Sends calls to leaf servers by gRPC. See LeafProtocol for the interface.
+class Channels : public LeafProtocol {
  public:
   Channels(ChannelLimits limits, Counters* counters) : limits_(limits), counters_(counters) {}
   ~Channels() override;
@@ -53,23 +53,23 @@
   void update(const LeafEntry& entry) override;
   void keepOnly(const std::vector<LeafEntry>& entries) override;
   void send(const std::string& server, std::vector<Call> calls) override;
-  void giveUp(Handle attempt) override;
+  void abandon(Handle attempt) override;
   void withdraw(Handle attempt) override;
   void forget(const std::string&) override {}
   void closeIdle(const std::string& server) override;
   void closeAll() override;
 
-  void cameUp(Handle connection, std::int64_t unixMs) override;
-  std::string_view front(Handle connection) override;
-  void wrote(Handle connection, std::size_t bytes) override;
-  void blocked(Handle connection) override;
+  void connected(Handle connection, std::int64_t unixMs) override;
+  std::string_view nextBytes(Handle connection) override;
+  void bytesWritten(Handle connection, std::size_t bytes) override;
+  void writeBlocked(Handle connection) override;
   void writable(Handle connection) override;
   void received(Handle connection, std::string_view bytes) override;
   void failed(Handle connection, const char* reason) override;
 
-  std::optional<Micros> next() const override { return timers_.next(); }
-  void sweep() override;
-  std::size_t size() const override { return channels_.size(); }
+  std::optional<Micros> nextTimer() const override { return timers_.nextDue(); }
+  void runDueTimers() override;
+  std::size_t connectionCount() const override { return channels_.size(); }
   std::size_t streams() const;                               // open streams of all connections
   std::size_t attempts() const { return attempts_.size(); }  // that have not ended
 
@@ -86,7 +86,7 @@
     std::uint64_t requestSent = 0;  // bytes of the request passed to the session
     bool requestFinished = false;
     int requestSubscription = 0;
-    std::shared_ptr<Flow> reply;
+    std::shared_ptr<MessageStream> reply;
     std::uint64_t replyWindowFreed = 0;  // bytes of the reply for which the stream's window was reopened
     std::optional<grpc::MessageFrameParser> messages;
   };
@@ -100,7 +100,7 @@
     std::unordered_map<std::int32_t, Stream> streams;
     std::vector<std::int32_t> dirty;  // streams whose request or reply has changed
     std::vector<Call> waiting;        // calls that wait until it is connected
-    std::optional<Agenda<Timer>::Key> connectionTimer, keepaliveTimer;
+    std::optional<TimerQueue<Timer>::Key> connectionTimer, keepaliveTimer;
     Micros lastReceivedAt = 0;
   };
   struct Server {
@@ -139,13 +139,13 @@
   // Reports the end of an attempt to the core.
   void reportEnded(Handle attempt, Outcome outcome, LeafAnswer answer = {});
   void unsubscribe(Stream& s);
-  void count(Count what) { counters_->add(what); }
+  void count(Counter what) { counters_->add(what); }
 
   ChannelLimits limits_;
   Counters* counters_;
   std::map<std::string, Server> servers_;
-  Table<Channel> channels_;
-  Agenda<Timer> timers_;
+  SlotTable<Channel> channels_;
+  TimerQueue<Timer> timers_;
   std::unordered_map<std::uint64_t, AttemptLocation> attempts_;  // by number(attempt)
 };
 
--- a/src/leaf/protocol.hpp
+++ b/src/leaf/protocol.hpp
@@ -16,17 +16,17 @@
 namespace cometdeal::net {
 
 // Implemented by the frame protocol and by gRPC; driven by `LeafSockets` and by the checker.
-class LeafMachine {
+class LeafProtocol {
  public:
   struct Open {  // open a socket and connect it; failed() is called if that is not possible
-    Handle link;
+    Handle connection;
     Address address;
   };
-  struct Flush {  // there may be bytes to write: call front(), then wrote() or blocked()
-    Handle link;
+  struct Flush {  // there may be bytes to write: call nextBytes(), then bytesWritten() or writeBlocked()
+    Handle connection;
   };
   struct Close {  // `reset`: with a TCP reset, so that bytes the other side has not read are discarded
-    Handle link;
+    Handle connection;
     bool reset = false;
   };
   struct Ended {  // report the end of an attempt to the core
@@ -34,26 +34,26 @@
     Outcome outcome = Outcome::done;
     LeafAnswer answer;
   };
-  struct Say {  // write a log line
+  struct Log {  // write a log line
     std::string text;
   };
-  using Effect = std::variant<Open, Flush, Close, Ended, Say>;
+  using Effect = std::variant<Open, Flush, Close, Ended, Log>;
 
-  virtual ~LeafMachine() = default;
+  virtual ~LeafProtocol() = default;
 
   // Sets the time of the calls that follow, in microseconds on the loop's clock.
-  void at(Micros now) { now_ = now; }
+  void setNow(Micros now) { now_ = now; }
   // The effects since the last call of this, to be performed in order.
-  std::vector<Effect> take() { return std::exchange(effects_, {}); }
-  bool quiet() const { return effects_.empty(); }
+  std::vector<Effect> takeEffects() { return std::exchange(effects_, {}); }
+  bool idle() const { return effects_.empty(); }
   // Called when there are effects to take although no call of this interface is running.
-  std::function<void()> wake;
+  std::function<void()> onWake;
 
   // Called by the core; see LeafSide.
   virtual void update(const LeafEntry& entry) = 0;
   virtual void keepOnly(const std::vector<LeafEntry>& entries) = 0;
   virtual void send(const std::string& server, std::vector<Call> calls) = 0;
-  virtual void giveUp(Handle attempt) = 0;
+  virtual void abandon(Handle attempt) = 0;
   virtual void withdraw(Handle attempt) = 0;
   virtual void forget(const std::string& id) = 0;
   virtual void closeIdle(const std::string& server) = 0;
@@ -61,25 +61,27 @@
 
   // Called by the sockets. Calls with the handle of a connection that has ended are ignored.
   // The connection is established; `unixMs`: the time of that, Unix time in milliseconds.
-  virtual void cameUp(Handle connection, std::int64_t unixMs) = 0;
-  virtual std::string_view front(Handle connection) = 0;  // the bytes to write next; empty: nothing for now
-  virtual void wrote(Handle connection, std::size_t bytes) = 0;  // so many bytes of front() are written
-  virtual void blocked(Handle connection) = 0;                   // the socket accepts no more bytes for now
-  virtual void writable(Handle connection) = 0;                  // it accepts bytes again
+  virtual void connected(Handle connection, std::int64_t unixMs) = 0;
+  virtual std::string_view nextBytes(
+      Handle connection) = 0;  // the bytes to write next; empty: nothing for now
+  virtual void bytesWritten(Handle connection,
+                            std::size_t bytes) = 0;  // so many bytes of nextBytes() are written
+  virtual void writeBlocked(Handle connection) = 0;  // the socket accepts no more bytes for now
+  virtual void writable(Handle connection) = 0;      // it accepts bytes again
   virtual void received(Handle connection, std::string_view bytes) = 0;
   // Connecting failed, the connection broke, or the other side closed it.
   virtual void failed(Handle connection, const char* reason) = 0;
 
-  virtual std::optional<Micros> next() const = 0;  // when sweep() is due; none: no timer is set
-  virtual void sweep() = 0;                        // handles the timers that are due
-  virtual std::size_t size() const = 0;            // number of connections
+  virtual std::optional<Micros> nextTimer() const = 0;  // when runDueTimers() is due; none: no timer is set
+  virtual void runDueTimers() = 0;                      // handles the timers that are due
+  virtual std::size_t connectionCount() const = 0;      // number of connections
 
  protected:
-  LeafMachine() = default;
-  LeafMachine(const LeafMachine&) = default;
-  LeafMachine& operator=(const LeafMachine&) = default;
+  LeafProtocol() = default;
+  LeafProtocol(const LeafProtocol&) = default;
+  LeafProtocol& operator=(const LeafProtocol&) = default;
 
-  void say(std::string text) { effects_.push_back(Say{std::move(text)}); }
+  void log(std::string text) { effects_.push_back(Log{std::move(text)}); }
 
   Micros now_ = 0;
   std::vector<Effect> effects_;
--- a/src/leaf/sockets.cpp
+++ b/src/leaf/sockets.cpp
@@ -36,23 +36,23 @@
     if (ec) return owner->failed(s->connection, ec.message().c_str());
     BOOST_ASIO_CORO_REENTER(this) {
       BOOST_ASIO_CORO_YIELD s->socket.async_connect(server, *this);
-      owner->machineNow().cameUp(s->connection, unixMs());
+      owner->protocolNow().connected(s->connection, unixMs());
       owner->performEffects();
       while (!s->closed) {
         BOOST_ASIO_CORO_YIELD s->socket.async_read_some(boost::asio::buffer(s->incoming), *this);
-        owner->machineNow().received(s->connection, {s->incoming.data(), bytes});
+        owner->protocolNow().received(s->connection, {s->incoming.data(), bytes});
         owner->performEffects();
       }
     }
   }
 };
 
-LeafSockets::LeafSockets(Loop& loop, std::unique_ptr<LeafMachine> machine)
-    : loop_(loop), machine_(std::move(machine)), alarm_(loop, [this] {
-        machineNow().sweep();
+LeafSockets::LeafSockets(Loop& loop, std::unique_ptr<LeafProtocol> protocol)
+    : loop_(loop), protocol_(std::move(protocol)), alarm_(loop, [this] {
+        protocolNow().runDueTimers();
         performEffects();
       }) {
-  machine_->wake = [this] {
+  protocol_->onWake = [this] {
     if (wakePosted_ || performing_) return;
     wakePosted_ = true;
     boost::asio::post(loop_.strand, [this] {
@@ -62,29 +62,29 @@
   };
 }
 
-LeafMachine& LeafSockets::machineNow() {
-  machine_->at(loop_.now());
-  return *machine_;
+LeafProtocol& LeafSockets::protocolNow() {
+  protocol_->setNow(loop_.now());
+  return *protocol_;
 }
 
 void LeafSockets::performEffects() {
   if (performing_) return;  // further effects are performed by the loop that is running
   performing_ = true;
-  while (!machine_->quiet())
-    for (LeafMachine::Effect& effect : machine_->take()) {
-      if (const auto* toOpen = std::get_if<LeafMachine::Open>(&effect))
-        open(toOpen->link, toOpen->address);
-      else if (const auto* toFlush = std::get_if<LeafMachine::Flush>(&effect))
-        flush(toFlush->link);
-      else if (const auto* toClose = std::get_if<LeafMachine::Close>(&effect))
-        close(toClose->link, toClose->reset);
-      else if (const auto* say = std::get_if<LeafMachine::Say>(&effect))
-        logLine("%s", say->text.c_str());
-      else if (auto* ended = std::get_if<LeafMachine::Ended>(&effect); ended && onEnded)
-        onEnded(ended->attempt, ended->outcome, std::move(ended->answer));
+  while (!protocol_->idle())
+    for (LeafProtocol::Effect& effect : protocol_->takeEffects()) {
+      if (const auto* toOpen = std::get_if<LeafProtocol::Open>(&effect))
+        open(toOpen->connection, toOpen->address);
+      else if (const auto* toFlush = std::get_if<LeafProtocol::Flush>(&effect))
+        flush(toFlush->connection);
+      else if (const auto* toClose = std::get_if<LeafProtocol::Close>(&effect))
+        close(toClose->connection, toClose->reset);
+      else if (const auto* line = std::get_if<LeafProtocol::Log>(&effect))
+        logLine("%s", line->text.c_str());
+      else if (auto* ended = std::get_if<LeafProtocol::Ended>(&effect); ended && onAttemptEnded)
+        onAttemptEnded(ended->attempt, ended->outcome, std::move(ended->answer));
     }
   performing_ = false;
-  alarm_.set(machine_->next());
+  alarm_.set(protocol_->nextTimer());
 }
 
 void LeafSockets::open(Handle connection, const Address& address) {
@@ -96,38 +96,38 @@
   if (!ec) s->socket.set_option(NotSentLowWater(kMaxUnsentBytes), ec);
   if (!ec) s->socket.non_blocking(true, ec);
   // Usually the process is out of descriptors. Only the attempts on this connection fail.
-  if (ec) return machineNow().failed(connection, ("cannot open a socket: " + ec.message()).c_str());
-  sockets_[number(connection)] = s;
+  if (ec) return protocolNow().failed(connection, ("cannot open a socket: " + ec.message()).c_str());
+  sockets_[toNumber(connection)] = s;
   Driver(this, s, tcp::endpoint(ip, address.port))();
 }
 
 // Writes without an asynchronous operation: when the connection breaks, it must be known how many bytes the
 // kernel had accepted.
 void LeafSockets::flush(Handle connection) {
-  const auto at = sockets_.find(number(connection));
+  const auto at = sockets_.find(toNumber(connection));
   if (at == sockets_.end()) return;
   const std::shared_ptr<Socket> s = at->second;
   for (;;) {
-    const std::string_view bytes = machineNow().front(connection);
+    const std::string_view bytes = protocolNow().nextBytes(connection);
     if (bytes.empty()) return;
     error_code ec;
     const std::size_t n = s->socket.write_some(boost::asio::buffer(bytes.data(), bytes.size()), ec);
-    if (n > 0) machine_->wrote(connection, n);
+    if (n > 0) protocol_->bytesWritten(connection, n);
     if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) {
-      machine_->blocked(connection);
+      protocol_->writeBlocked(connection);
       s->socket.async_wait(tcp::socket::wait_write, [this, s](const error_code&) {
         if (s->closed) return;
-        machineNow().writable(s->connection);
+        protocolNow().writable(s->connection);
         performEffects();
       });
       return;
     }
-    if (ec) return machine_->failed(connection, ec.message().c_str());
+    if (ec) return protocol_->failed(connection, ec.message().c_str());
   }
 }
 
 void LeafSockets::close(Handle connection, bool reset) {
-  const auto at = sockets_.find(number(connection));
+  const auto at = sockets_.find(toNumber(connection));
   if (at == sockets_.end()) return;
   Socket& s = *at->second;
   s.closed = true;
@@ -138,40 +138,40 @@
 }
 
 void LeafSockets::failed(Handle connection, const char* reason) {
-  machineNow().failed(connection, reason);
+  protocolNow().failed(connection, reason);
   performEffects();
 }
 
 void LeafSockets::update(const LeafEntry& entry) {
-  machineNow().update(entry);
+  protocolNow().update(entry);
   performEffects();
 }
 void LeafSockets::keepOnly(const std::vector<LeafEntry>& entries) {
-  machineNow().keepOnly(entries);
+  protocolNow().keepOnly(entries);
   performEffects();
 }
 void LeafSockets::send(const std::string& server, std::vector<Call> calls) {
-  machineNow().send(server, std::move(calls));
+  protocolNow().send(server, std::move(calls));
   performEffects();
 }
-void LeafSockets::giveUp(Handle attempt) {
-  machineNow().giveUp(attempt);
+void LeafSockets::abandon(Handle attempt) {
+  protocolNow().abandon(attempt);
   performEffects();
 }
 void LeafSockets::withdraw(Handle attempt) {
-  machineNow().withdraw(attempt);
+  protocolNow().withdraw(attempt);
   performEffects();
 }
 void LeafSockets::forget(const std::string& id) {
-  machineNow().forget(id);
+  protocolNow().forget(id);
   performEffects();
 }
 void LeafSockets::closeIdle(const std::string& server) {
-  machineNow().closeIdle(server);
+  protocolNow().closeIdle(server);
   performEffects();
 }
 void LeafSockets::closeAll() {
-  machineNow().closeAll();
+  protocolNow().closeAll();
   performEffects();
 }
 
--- a/src/leaf/sockets.hpp
+++ b/src/leaf/sockets.hpp
@@ -1,5 +1,5 @@
 // The sockets of the connections to leaf servers. A protocol's state machine decides what is sent on them and
-// how each attempt ends; this performs the machine's effects and reports the sockets' events to it.
+// how each attempt ends; this performs the protocol's effects and reports the sockets' events to it.
 #pragma once
 
 #include <array>
@@ -10,8 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/loop.hpp"
 #include "core/interfaces.hpp"
+#include "core/loop.hpp"
 #include "protocol.hpp"
 
 namespace cometdeal::net {
@@ -21,16 +21,16 @@
  public:
   using tcp = boost::asio::ip::tcp;
 
-  LeafSockets(Loop& loop, std::unique_ptr<LeafMachine> machine);
+  LeafSockets(Loop& loop, std::unique_ptr<LeafProtocol> protocol);
 
   void update(const LeafEntry& entry) override;
   void keepOnly(const std::vector<LeafEntry>& entries) override;
   void send(const std::string& server, std::vector<Call> calls) override;
-  void giveUp(Handle attempt) override;
+  void abandon(Handle attempt) override;
   void withdraw(Handle attempt) override;
   void forget(const std::string& id) override;
   void closeIdle(const std::string& server) override;
-  std::size_t connections() const { return machine_->size(); }
+  std::size_t connectionCount() const { return protocol_->connectionCount(); }
   void closeAll();
 
  private:
@@ -43,15 +43,15 @@
   };
   struct Driver;
 
-  LeafMachine& machineNow();  // the machine, with its time set to now
-  void performEffects();      // until the machine has none left
+  LeafProtocol& protocolNow();  // the protocol, with its time set to now
+  void performEffects();        // until the protocol has none left
   void open(Handle connection, const Address& address);
   void flush(Handle connection);
   void close(Handle connection, bool reset);
   void failed(Handle connection, const char* reason);
 
   Loop& loop_;
-  std::unique_ptr<LeafMachine> machine_;
+  std::unique_ptr<LeafProtocol> protocol_;
   Alarm alarm_;
   std::unordered_map<std::uint64_t, std::shared_ptr<Socket>> sockets_;  // by connection
   bool performing_ = false, wakePosted_ = false;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -24,8 +24,8 @@
 #ifdef COMETDEAL_GRPC
 #include "config/plans.hpp"
 #include "front/grpc/server.hpp"
-#include "leaf/grpc/channels.hpp"
 #include "leaf/composite_side.hpp"
+#include "leaf/grpc/channels.hpp"
 #endif
 
 namespace {
@@ -63,20 +63,20 @@
 struct Grpc {
   grpc::Config config;
   LeafSockets leaves;
-  LeafSides sides;
+  CompositeLeafSide sides;
   std::optional<GrpcServer> server;
 
   static ChannelLimits limits(const grpc::Config& grpc, const Config& config, int maxConnections) {
     ChannelLimits out;
     out.connectTimeout = config.host.connectTimeout;
-    out.connIdle = config.settings.connIdle.value_or(0);
+    out.idleTimeout = config.settings.connectionIdleTimeout.value_or(0);
     out.keepalive = grpc.keepalive;
     out.connectionsPerLeaf = grpc.connectionsPerLeaf;
-    out.connectionsMost = maxConnections;
+    out.maxConnections = maxConnections;
     out.portOffset = grpc.leafPortOffset;
-    out.messageMost = grpc.messageMost;
-    out.metadataMost = grpc.metadataMost;
-    out.streamWindow = grpc.streamWindow;
+    out.maxMessageBytes = grpc.maxMessageBytes;
+    out.maxMetadataBytes = grpc.maxMetadataBytes;
+    out.streamWindowBytes = grpc.streamWindowBytes;
     return out;
   }
   // `frameLeaves`: the leaf side of HTTP queries. It and the gRPC leaf side are combined in `sides`.
@@ -94,7 +94,7 @@
 // Replacements for a build without gRPC and YAML: a configuration that asks for them ends the start with an
 // error instead of being ignored.
 void readPlans(const Config& config) {
-  if (!config.plansFile.empty()) throw BadConfig("'plans' is set, but this program was built without YAML");
+  if (!config.plansFile.empty()) throw ConfigError("'plans' is set, but this program was built without YAML");
 }
 struct Grpc {
   struct NoServer {
@@ -106,7 +106,7 @@
   LeafSide& sides;
   NoServer leaves;
   Grpc(Loop&, Counters&, const Config&, LeafSide& frameLeaves, int) : sides(frameLeaves) {
-    throw BadConfig("'grpc' is set, but this program was built without gRPC");
+    throw ConfigError("'grpc' is set, but this program was built without gRPC");
   }
   void listen(Loop&, Counters&, Mixer&, const HostSettings&) {}
 };
@@ -114,29 +114,30 @@
 
 // The descriptor of the listener for clients, if the platform passes one on: both processes of an upgrade
 // accept from it. Must be called before the program opens anything, since a new descriptor might get the same
-// number. Throws BadConfig if BALANCER_FD is malformed or the descriptor is not open.
+// number. Throws ConfigError if BALANCER_FD is malformed or the descriptor is not open.
 std::optional<int> inheritedListener() {
   const char* text = std::getenv("BALANCER_FD");
   if (!text) return std::nullopt;
   int out = -1;
   const char* end = text + std::strlen(text);
   if (std::from_chars(text, end, out).ptr != end || out < 0)
-    throw BadConfig("BALANCER_FD: '" + std::string(text) + "' is no descriptor, expected a number from 0 on");
+    throw ConfigError("BALANCER_FD: '" + std::string(text) +
+                      "' is no descriptor, expected a number from 0 on");
   if (fcntl(out, F_GETFD) < 0)
-    throw BadConfig("BALANCER_FD: descriptor " + std::string(text) +
-                    " is not open, expected a socket that listens");
+    throw ConfigError("BALANCER_FD: descriptor " + std::string(text) +
+                      " is not open, expected a socket that listens");
   return out;
 }
 
-// The operators' address, from BALANCER_ADMIN or the configuration. Throws BadConfig if the two differ: a
+// The operators' address, from BALANCER_ADMIN or the configuration. Throws ConfigError if the two differ: a
 // process that used one of them could occupy the address of another process.
 std::optional<Address> adminAddress(const Config& config) {
   const char* text = std::getenv("BALANCER_ADMIN");
   if (!text) return config.admin;
   const Address fromEnvironment = readAddress(text);
   if (config.admin && *config.admin != fromEnvironment)
-    throw BadConfig("BALANCER_ADMIN is " + asText(fromEnvironment) +
-                    ", expected 'admin' of the configuration, " + asText(*config.admin));
+    throw ConfigError("BALANCER_ADMIN is " + toString(fromEnvironment) +
+                      ", expected 'admin' of the configuration, " + toString(*config.admin));
   return fromEnvironment;
 }
 
@@ -145,7 +146,7 @@
   try {
     server.listen(address);
   } catch (const boost::system::system_error& problem) {
-    throw BadConfig("cannot listen on " + asText(address) + ": " + problem.code().message());
+    throw ConfigError("cannot listen on " + toString(address) + ": " + problem.code().message());
   }
 }
 
@@ -166,31 +167,32 @@
   // how many the other one uses. So each uses half.
   const int sockets = descriptorLimit(config.sockets) / (inherited ? 2 : 1);
   const int leafDescriptors = std::min(kLeafDescriptors, sockets / 3);
-  auto links = std::make_unique<Links>(linkLimits(config.host, config.settings, leafDescriptors), &counters);
-  Links& frameLinks = *links;
-  LeafSockets leaves(loop, std::move(links));
+  auto connections = std::make_unique<FrameConnections>(
+      frameConnectionLimits(config.host, config.settings, leafDescriptors), &counters);
+  FrameConnections& frameConnections = *connections;
+  LeafSockets leaves(loop, std::move(connections));
   std::optional<Grpc> grpc;
   if (!config.grpcFile.empty()) grpc.emplace(loop, counters, config, leaves, leafDescriptors);
   Mixer mixer(loop, counters, grpc ? static_cast<LeafSide&>(grpc->sides) : leaves, config.settings,
               config.host, config.seed);
   std::optional<std::int64_t> listIndex;
   if (config.restoredList) {
-    mixer.list(*config.restoredList, ListKind::restored);
+    mixer.updateLeafList(*config.restoredList, ListKind::restored);
     listIndex = config.restoredList->index;
   }
   Discovery discovery(loop, counters, config.discovery, config.host.zones, listIndex);
   discovery.onList = [&](const LeafList& list) {
-    mixer.list(list, list.whole ? ListKind::complete : ListKind::changes);
+    mixer.updateLeafList(list, list.fullSnapshot ? ListKind::complete : ListKind::changes);
   };
-  Clients clients(loop, counters, mixer, std::max(8, sockets - leafDescriptors - kOtherDescriptors));
+  HttpServer httpServer(loop, counters, mixer, std::max(8, sockets - leafDescriptors - kOtherDescriptors));
   const auto processStatus = [&] {
     ProcessStatus out;
-    out.outstanding = mixer.open();
-    const Aggregator::Listed listed = mixer.listed();
-    out.discovered = listed.all;
+    out.outstanding = mixer.openQueries();
+    const Aggregator::ServerCounts listed = mixer.listed();
+    out.discovered = listed.total;
     out.ejected = listed.avoided;
-    out.notReadyReason = !clients.accepting() ? "it stops" : "it has no list of leaf servers yet";
-    out.ready = clients.accepting() && mixer.ready();
+    out.notReadyReason = !httpServer.accepting() ? "it stops" : "it has no list of leaf servers yet";
+    out.ready = httpServer.accepting() && mixer.hasLeafList();
     return out;
   };
   AdminServer admin(
@@ -200,9 +202,9 @@
   if (adminListen) listenOn(admin, *adminListen);
   if (grpc) grpc->listen(loop, counters, mixer, config.host);
   if (inherited)
-    clients.adoptListener(*inherited, config.listen);
+    httpServer.adoptListener(*inherited, config.listen);
   else
-    listenOn(clients, config.listen);
+    listenOn(httpServer, config.listen);
   discovery.start();
   logLine("%s: listening on %s:%u", config.name.c_str(), config.listen.host.c_str(),
           unsigned(config.listen.port));
@@ -216,16 +218,16 @@
       if (ec) return;
       try {
         Config next = readReload(path, config);
-        mixer.retune(next.settings, next.host, retainedClasses);
-        frameLinks.limit(linkLimits(next.host, next.settings, leafDescriptors));
-        discovery.moveTo(next.discovery, next.host.zones);
-        counters.add(Count::reloads);
+        mixer.reconfigure(next.settings, next.host, retainedClasses);
+        frameConnections.setLimits(frameConnectionLimits(next.host, next.settings, leafDescriptors));
+        discovery.setAgent(next.discovery, next.host.zones);
+        counters.add(Counter::reloads);
         logLine("%s: reloaded, discovery at %s, %d classes", config.name.c_str(),
-                asText(next.discovery).c_str(), int(next.settings.classes.size()));
+                toString(next.discovery).c_str(), int(next.settings.classes.size()));
         config.settings = next.settings;
         config.source = next.source;
-      } catch (const BadConfig& problem) {  // a bad file must not end a process that serves
-        counters.add(Count::reloadsFailed);
+      } catch (const ConfigError& problem) {  // a bad file must not end a process that serves
+        counters.add(Counter::reloadsFailed);
         logLine("%s: not reloaded: %s", config.name.c_str(), problem.what());
       }
       waitReload();
@@ -243,17 +245,17 @@
   Micros longestDeadline = 0, stoppedAt = 0;
   const auto grpcBusy = [&] { return grpc && grpc->server->busy(); };
   std::function<void()> continueDrain = [&] {
-    if (inherited) clients.handOver();  // another process serves clients that connect again
-    if (loop.now() - stoppedAt >= longestDeadline) clients.stopKeepAlive();
-    if (clients.connections() > 0 && loop.now() - stoppedAt < longestDeadline) {
+    if (inherited) httpServer.handOver();  // another process serves clients that connect again
+    if (loop.now() - stoppedAt >= longestDeadline) httpServer.stopKeepAlive();
+    if (httpServer.connections() > 0 && loop.now() - stoppedAt < longestDeadline) {
       // Another mixer may be down at the same time: clients that stay connected are served as long as
       // possible.
-    } else if (loop.now() - stoppedAt >= kMinDrainTime && mixer.open() == 0 && !clients.busy() &&
+    } else if (loop.now() - stoppedAt >= kMinDrainTime && mixer.openQueries() == 0 && !httpServer.busy() &&
                !grpcBusy()) {
       // Nothing is open any more. The backlog is accepted, and the queries that it brings are finished too.
-      clients.finish();
+      httpServer.finish();
       if (grpc) grpc->server->finish();
-      if (!clients.busy() && !grpcBusy() && mixer.open() == 0) return loop.io.stop();
+      if (!httpServer.busy() && !grpcBusy() && mixer.openQueries() == 0) return loop.io.stop();
     }
     loop.deadlines.add(loop.now() + kDrainCheckInterval, [&] { continueDrain(); });
   };
@@ -264,7 +266,7 @@
     for (const ClassSettings& cls : mixer.settings().classes)
       longestDeadline = std::max(longestDeadline, cls.deadline);
     longestDeadline = std::min(longestDeadline, kMaxDrainDeadline);
-    clients.drain(stoppedAt + longestDeadline + kMinDrainTime - kKillMargin);
+    httpServer.drain(stoppedAt + longestDeadline + kMinDrainTime - kKillMargin);
     if (grpc) grpc->server->drain(stoppedAt + longestDeadline + kMinDrainTime - kKillMargin);
     continueDrain();
   });
@@ -281,7 +283,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   try {
     const char* path = std::getenv("BALANCER_CONFIG");
-    if (!path) throw BadConfig("BALANCER_CONFIG is not set, expected the path of the configuration file");
+    if (!path) throw ConfigError("BALANCER_CONFIG is not set, expected the path of the configuration file");
     const std::optional<int> inherited = inheritedListener();
     Loop loop;
     Signals signals(loop);
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -40,7 +40,7 @@
             std::string_view in = c->buffered;
             const HttpParser::State state = c->parser.feed(in);
             c->buffered.erase(0, c->buffered.size() - in.size());
-            if (state == HttpParser::State::bad) return d->failed(*c, "malformed answer");
+            if (state == HttpParser::State::malformed) return d->failed(*c, "malformed answer");
             if (state == HttpParser::State::done) break;
           }
           BOOST_ASIO_CORO_YIELD c->socket.async_read_some(boost::asio::buffer(c->incoming), *this);
@@ -68,7 +68,7 @@
 void Discovery::start() { connect(); }
 
 void Discovery::stop() {
-  loop_.deadlines.drop(deadline_);
+  loop_.deadlines.cancel(deadline_);
   if (!connection_) return;
   connection_->closed = true;
   error_code ignored;
@@ -78,7 +78,7 @@
 
 // Another address is another agent, which may number its versions differently: a watch from the version that
 // the old agent reported could miss changes, so the full list is requested.
-void Discovery::moveTo(const Address& address, std::vector<std::string> zones) {
+void Discovery::setAgent(const Address& address, std::vector<std::string> zones) {
   if (address == address_ && zones == zones_) return;
   stop();
   address_ = address;
@@ -97,11 +97,11 @@
 std::string Discovery::nextRequest() const {
   std::string target = "/discovery/hosts";
   if (index_) target += "?since=" + std::to_string(*index_) + "&timeout_ms=" + std::to_string(kPollTimeoutMs);
-  return writeGet(target, asText(address_));
+  return writeGet(target, toString(address_));
 }
 
 void Discovery::setDeadline(Micros timeout) {
-  loop_.deadlines.drop(deadline_);
+  loop_.deadlines.cancel(deadline_);
   deadline_ = loop_.deadlines.add(loop_.now() + timeout, [this] {
     deadline_.reset();
     if (connection_) failed(*connection_, "no answer before the time-out");
@@ -113,17 +113,17 @@
 bool Discovery::accept(const HttpMessage& response) {
   const nlohmann::json body = nlohmann::json::parse(response.body, nullptr, false);
   try {
-    if (response.status != 200 || !body.is_object()) throw BadConfig("the answer is not a list");
+    if (response.status != 200 || !body.is_object()) throw ConfigError("the answer is not a list");
     LeafList list = readList(body, zones_);
     // Changes apply only to the version from which they were requested.
-    if (!list.whole && !index_) throw BadConfig("got changes where the full list was requested");
+    if (!list.fullSnapshot && !index_) throw ConfigError("got changes where the full list was requested");
     index_ = list.index;
     retryDelay_ = kMinRetryDelay;
-    counters_.add(Count::lists);
-    if (onList && (list.whole || !list.entries.empty())) onList(std::move(list));
+    counters_.add(Counter::lists);
+    if (onList && (list.fullSnapshot || !list.entries.empty())) onList(std::move(list));
     return true;
-  } catch (const BadConfig& problem) {
-    counters_.add(Count::listsMalformed);
+  } catch (const ConfigError& problem) {
+    counters_.add(Counter::listsMalformed);
     logLine("list from discovery not used: %s", problem.what());
     if (response.status == 200) index_.reset();
     return false;
@@ -136,9 +136,9 @@
   error_code ignored;
   c.socket.close(ignored);
   connection_.reset();
-  counters_.add(Count::discoveryFailures);
+  counters_.add(Counter::discoveryFailures);
   logLine("discovery: %s", reason);
-  loop_.deadlines.drop(deadline_);
+  loop_.deadlines.cancel(deadline_);
   deadline_ = loop_.deadlines.add(loop_.now() + retryDelay_, [this] {
     deadline_.reset();
     connect();
--- a/src/membership/discovery.hpp
+++ b/src/membership/discovery.hpp
@@ -32,7 +32,7 @@
   void stop();
   // Drops the current request and requests the full list, from `address` and read with `zones`. Does nothing
   // if both are unchanged.
-  void moveTo(const Address& address, std::vector<std::string> zones);
+  void setAgent(const Address& address, std::vector<std::string> zones);
 
  private:
   struct Connection {
--- a/src/phases/account.cpp
+++ b/src/phases/account.cpp
@@ -7,37 +7,37 @@
 
 constexpr double kWeightTolerance = 1e-6;  // for rounding errors in sums of weights
 
-void countParts(PhaseAccount& out, const std::vector<Seen>& parts) {
-  for (const Seen& p : parts) {
+void countParts(PhaseAccount& out, const std::vector<PartState>& parts) {
+  for (const PartState& p : parts) {
     ++out.asked;
     out.weightAsked += p.weight;
     if (!p.answered) continue;
-    ++out.in;
-    out.weightIn += p.weight;
+    ++out.answered;
+    out.weightAnswered += p.weight;
   }
 }
 
 }  // namespace
 
-void Account::firstEnds(const Plan& plan, const std::vector<Seen>& parts, const Step& step) {
+void Account::firstPhaseEnded(const Plan& plan, const std::vector<PartState>& parts, const Step& step) {
   phases.clear();
   countParts(phases.emplace_back(), parts);
-  phases[0].how = step.how;
-  second = step.second;
+  phases[0].phaseEnd = step.phaseEnd;
+  secondPhase = step.secondPhase;
   lossless = step.lossless;
-  if (!plan.two()) return;
+  if (!plan.hasSecondPhase()) return;
   PhaseAccount next;
   std::vector<bool> asked(parts.size(), false);
-  for (const std::size_t at : step.ask) asked[at] = true;
-  const Picked picked = pick(plan.phases[1], parts);
+  for (const std::size_t at : step.selectedParts) asked[at] = true;
+  const Selection selection = selectShards(plan.phases[1], parts);
   std::vector<bool> selected(parts.size(), false);
-  for (const std::size_t at : picked.keep) selected[at] = true;
+  for (const std::size_t at : selection.indices) selected[at] = true;
   for (std::size_t k = 0; k < parts.size(); ++k) {
     if (!parts[k].answered) continue;
     const bool noMatch = hasNoMatch(plan.phases[1].prune, parts[k].score);
     // If the second phase is skipped, all selected parts count as cut.
-    int& count = noMatch ? next.nothing : !selected[k] ? next.pruned : next.cut;
-    double& weight = noMatch ? next.weightNothing : !selected[k] ? next.weightPruned : next.weightCut;
+    int& count = noMatch ? next.noMatch : !selected[k] ? next.pruned : next.cut;
+    double& weight = noMatch ? next.weightNoMatch : !selected[k] ? next.weightPruned : next.weightCut;
     if (asked[k]) continue;
     ++count;
     weight += parts[k].weight;
@@ -45,21 +45,22 @@
   phases.push_back(next);
 }
 
-void Account::secondEnds(const std::vector<Seen>& parts, const Step& step) {
+void Account::secondPhaseEnded(const std::vector<PartState>& parts, const Step& step) {
   countParts(phases[1], parts);
-  phases[1].how = step.how;
-  if (!step.fromSecond) second = step.second;
+  phases[1].phaseEnd = step.phaseEnd;
+  if (!step.fromSecond) secondPhase = step.secondPhase;
 }
 
 bool Account::exact(const Plan& plan) const {
   const auto complete = [&](std::size_t k) {
     const PhaseAccount& p = phases[k];
-    return p.asked == p.in || p.weightIn >= plan.phases[k].completeShare * p.weightAsked - kWeightTolerance;
+    return p.asked == p.answered ||
+           p.weightAnswered >= plan.phases[k].completeShare * p.weightAsked - kWeightTolerance;
   };
   if (!complete(0)) return false;
-  if (!plan.two()) return true;
-  if (second == Step::Second::none) return phases[1].cut == 0 && lossless;
-  return second == Step::Second::whole && lossless && phases[1].cut == 0 && complete(1);
+  if (!plan.hasSecondPhase()) return true;
+  if (secondPhase == Step::SecondPhase::none) return phases[1].cut == 0 && lossless;
+  return secondPhase == Step::SecondPhase::complete && lossless && phases[1].cut == 0 && complete(1);
 }
 
 }  // namespace cometdeal::phases
--- a/src/phases/latency.cpp
+++ b/src/phases/latency.cpp
@@ -85,8 +85,8 @@
   h.add(took, now);
 }
 
-std::optional<Micros> Latencies::allIn(int cls, int phase, std::size_t parts, double chance,
-                                       Micros now) const {
+std::optional<Micros> Latencies::timeForAll(int cls, int phase, std::size_t parts, double chance,
+                                            Micros now) const {
   const Histogram* h = histogram(cls, phase);
   if (!h || h->decayedCount(now) < kMinSamples) return std::nullopt;
   if (parts == 0) return 0;
--- a/src/phases/latency.hpp
+++ b/src/phases/latency.hpp
@@ -25,7 +25,7 @@
   // The time within which `parts` parts all answer with probability `chance` (0 to 1). Treats the times of
   // the parts as independent, so it overestimates where one cause delays all of them. Nothing while the
   // decayed number of samples is below kMinSamples.
-  std::optional<Micros> allIn(int cls, int phase, std::size_t parts, double chance, Micros now) const;
+  std::optional<Micros> timeForAll(int cls, int phase, std::size_t parts, double chance, Micros now) const;
 
   static constexpr double kMinSamples = 10;
 
--- a/src/phases/plan.cpp
+++ b/src/phases/plan.cpp
@@ -23,26 +23,27 @@
     const Phase& p = plan.phases[k];
     if (!isShare(p.completeShare) || p.completeShare <= 0)
       return error(k, "'whole' is a share above 0, up to 1");
-    if (!isShare(p.least) || p.least > p.completeShare + kWeightTolerance)
+    if (!isShare(p.minimumShare) || p.minimumShare > p.completeShare + kWeightTolerance)
       return error(k, "'least' is a share, up to 'whole'");
-    if (!std::isfinite(p.claim) || p.claim <= 0 || p.claim >= 1)
+    if (!std::isfinite(p.timeShare) || p.timeShare <= 0 || p.timeShare >= 1)
       return error(k, "'claim' is a share of the time, above 0 and under 1");
     // The class's shares apply to the first phase. The second asks only some of the shards, and the answer
     // reports how much of the query it covers.
     if (k > 0) continue;
-    if (p.least < classMinimumShare - kWeightTolerance)
+    if (p.minimumShare < classMinimumShare - kWeightTolerance)
       return error(k, "'least' is under the class's least share");
     if (p.completeShare < classRequiredShare - kWeightTolerance)
       return error(k, "'whole' is under what the class needs for a whole answer");
   }
-  if (!plan.two()) return std::nullopt;
-  if (plan.phases[0].claim + plan.phases[1].claim > 1 + kWeightTolerance)
+  if (!plan.hasSecondPhase()) return std::nullopt;
+  if (plan.phases[0].timeShare + plan.phases[1].timeShare > 1 + kWeightTolerance)
     return error(1, "the claims of both phases are more than all the time");
   const PruneSettings& prune = plan.phases[1].prune;
-  if (prune.most < 0 || prune.most > kMaxShards) return error(1, "'prune.most' is 1 to 10000");
-  if (prune.rule == Rule::top && prune.most == 0) return error(1, "the rule 'top' needs 'prune.most'");
+  if (prune.maxShards < 0 || prune.maxShards > kMaxShards) return error(1, "'prune.most' is 1 to 10000");
+  if (prune.rule == PruneRule::top && prune.maxShards == 0)
+    return error(1, "the rule 'top' needs 'prune.most'");
   if (prune.minShards < 1 || prune.minShards > kMaxShards) return error(1, "'prune.at_least' is 1 to 10000");
-  if (prune.most > 0 && prune.minShards > prune.most)
+  if (prune.maxShards > 0 && prune.minShards > prune.maxShards)
     return error(1, "'prune.at_least' is more than 'prune.most'");
   if (!isShare(prune.minimumShare)) return error(1, "'prune.least_share' is a share");
   if (!isShare(prune.ratio)) return error(1, "'prune.ratio' is a share");
@@ -51,9 +52,9 @@
   return std::nullopt;
 }
 
-Picked pick(const Phase& second, const std::vector<Seen>& parts) {
+Selection selectShards(const Phase& second, const std::vector<PartState>& parts) {
   const PruneSettings& prune = second.prune;
-  Picked out;
+  Selection out;
   std::vector<std::size_t> order;
   double answeredWeight = 0;
   for (std::size_t k = 0; k < parts.size(); ++k) {
@@ -69,16 +70,16 @@
                                             : parts[a].shard < parts[b].shard;
   });
   const std::size_t maxCount =
-      prune.most > 0 ? std::min(order.size(), std::size_t(prune.most)) : order.size();
+      prune.maxShards > 0 ? std::min(order.size(), std::size_t(prune.maxShards)) : order.size();
   std::size_t n = maxCount;
-  if (prune.rule == Rule::threshold && !order.empty()) {
+  if (prune.rule == PruneRule::threshold && !order.empty()) {
     const long double best = parts[order.front()].score;
     n = 0;
     // A fraction of a negative best score is greater than that score and would exclude even the best shard.
     // In this case only scores equal to the best one pass.
     const long double bound = best > 0 ? best * prune.ratio : best;
     while (n < maxCount && parts[order[n]].score >= bound) ++n;
-  } else if (prune.rule == Rule::cover) {
+  } else if (prune.rule == PruneRule::cover) {
     double covered = 0;
     n = 0;
     while (n < maxCount && covered < prune.coverShare * answeredWeight - kWeightTolerance)
@@ -95,7 +96,7 @@
   n = std::max(n, minimumCount);
   out.lossless = n == order.size() || prune.lossless;
   order.resize(n);
-  out.keep = std::move(order);
+  out.indices = std::move(order);
   return out;
 }
 
--- a/src/phases/plan.hpp
+++ b/src/phases/plan.hpp
@@ -1,6 +1,7 @@
 // Plans for queries in two phases: what each phase asks, the minimum share of answers for continuing or
 // answering, how the shards of the second phase are selected, and how the time is divided. No I/O and
-// independent of any protocol: `config/plans` (YAML) and the fronts read plans, `core/query_tracker` executes them.
+// independent of any protocol: `config/plans` (YAML) and the fronts read plans, `core/query_tracker` executes
+// them.
 //
 // Shares are fractions of the query's total weight, 0 to 1. Times are in microseconds.
 #pragma once
@@ -15,7 +16,7 @@
 
 // Which of the shards that answered the first phase are asked in the second. Shards are ordered by score,
 // best first, and equal scores by shard number, so that all mixers select the same shards.
-enum class Rule : std::uint8_t {
+enum class PruneRule : std::uint8_t {
   top,        // the best shards, as many as the upper bound allows
   threshold,  // the shards with at least `ratio` times the best score
   canMatch,   // all shards except those whose score of 0 or less reports that nothing matches
@@ -23,8 +24,8 @@
 };
 
 struct PruneSettings {
-  Rule rule = Rule::top;
-  int most = 0;       // upper bound under every rule; 0: none. The rule `top` requires one
+  PruneRule rule = PruneRule::top;
+  int maxShards = 0;  // upper bound under every rule; 0: none. The rule `top` requires one
   int minShards = 1;  // lower bound, as far as that many shards have something to add
   // Lower bound as a share of the query's weight. With `canMatch`, shards without a match count towards it.
   double minimumShare = 0;
@@ -38,16 +39,17 @@
 struct Phase {
   std::string text;            // request text of its parts; empty: the query's own text
   double completeShare = 1.0;  // with this share answered the phase is complete
-  double least = 1.0;   // below it the query neither continues with the next phase nor answers from this one
-  double claim = 0.5;   // share of the query's time, used as long as no latencies have been learned
-  PruneSettings prune;  // for the second phase: selects its shards
-  bool maySkip = true;  // for the second phase: the answer may come from the first phase instead
-  bool mayCut = true;   // for the second phase: may ask fewer shards than the rule selects, to be in time
+  double minimumShare =
+      1.0;  // below it the query neither continues with the next phase nor answers from this one
+  double timeShare = 0.5;  // share of the query's time, used as long as no latencies have been learned
+  PruneSettings prune;     // for the second phase: selects its shards
+  bool maySkip = true;     // for the second phase: the answer may come from the first phase instead
+  bool mayCut = true;      // for the second phase: may ask fewer shards than the rule selects, to be in time
 };
 
 struct Plan {
   std::vector<Phase> phases;  // one or two
-  bool two() const { return phases.size() > 1; }
+  bool hasSecondPhase() const { return phases.size() > 1; }
 };
 
 // Validates a plan. Returns a one-line error that names the phase and the key, or nothing if the plan is
@@ -56,7 +58,7 @@
 std::optional<std::string> planError(const Plan& plan, double classRequiredShare, double classMinimumShare);
 
 // One part of the current phase.
-struct Seen {
+struct PartState {
   int shard = 0;
   double weight = 0;
   bool answered = false;
@@ -65,18 +67,18 @@
 
 // Whether the score reports that the shard has nothing to add in the second phase.
 inline bool hasNoMatch(const PruneSettings& prune, long double score) {
-  return prune.rule == Rule::canMatch && score <= 0;
+  return prune.rule == PruneRule::canMatch && score <= 0;
 }
 
-struct Picked {
-  std::vector<std::size_t> keep;  // indices into the parts, best score first
-  std::size_t minimumCount = 0;   // the first so many of them may not be cut, even if time is short
-  double noMatchWeight = 0;       // weight of the answered parts without a match
-  bool minimumMet = true;         // the answered parts suffice for PruneSettings::minimumShare
-  bool lossless = true;           // the shards left out could not have changed the answer
+struct Selection {
+  std::vector<std::size_t> indices;  // indices into the parts, best score first
+  std::size_t minimumCount = 0;      // the first so many of them may not be cut, even if time is short
+  double noMatchWeight = 0;          // weight of the answered parts without a match
+  bool minimumMet = true;            // the answered parts suffice for PruneSettings::minimumShare
+  bool lossless = true;              // the shards left out could not have changed the answer
 };
 // Selects the shards of the second phase from the answered parts of the first. Keeps at least
 // PruneSettings::minShards and ::minimumShare, as far as the answered parts allow.
-Picked pick(const Phase& second, const std::vector<Seen>& parts);
+Selection selectShards(const Phase& second, const std::vector<PartState>& parts);
 
 }  // namespace cometdeal::phases
--- a/src/phases/read_plan.hpp
+++ b/src/phases/read_plan.hpp
@@ -1,6 +1,6 @@
 // Reads a plan from a parsed document. `Node` is a strict reader of one node of it (StrictYaml, StrictJson):
-// find(key), need(key), done(), list(), string(), integer(minimum, maximum), number(minimum, maximum),
-// boolean(), choice({...}), and fail(message), which throws and does not return.
+// find(key), require(key), rejectUnknownKeys(), list(), string(), integer(minimum, maximum), number(minimum,
+// maximum), boolean(), choice({...}), and fail(message), which throws and does not return.
 #pragma once
 
 #include <algorithm>
@@ -13,19 +13,19 @@
 template <typename Node>
 PruneSettings readPrune(Node node) {
   PruneSettings out;
-  out.rule = Rule(node.need("rule").choice({"top", "threshold", "can_match", "cover"}));
-  if (auto most = node.find("most")) out.most = int(most->integer(1, 10'000));
+  out.rule = PruneRule(node.require("rule").choice({"top", "threshold", "can_match", "cover"}));
+  if (auto most = node.find("most")) out.maxShards = int(most->integer(1, 10'000));
   if (auto minShards = node.find("at_least")) out.minShards = int(minShards->integer(1, 10'000));
   if (auto share = node.find("least_share")) out.minimumShare = share->number(0, 1);
   if (auto lossless = node.find("lossless")) out.lossless = lossless->boolean();
   auto ratio = node.find("ratio"), coverShare = node.find("share");
-  if (bool(ratio) != (out.rule == Rule::threshold))
+  if (bool(ratio) != (out.rule == PruneRule::threshold))
     (ratio ? *ratio : node).fail("'ratio' goes with the rule 'threshold', and that with it");
-  if (bool(coverShare) != (out.rule == Rule::cover))
+  if (bool(coverShare) != (out.rule == PruneRule::cover))
     (coverShare ? *coverShare : node).fail("'share' goes with the rule 'cover', and that with it");
   if (ratio) out.ratio = ratio->number(0, 1);
   if (coverShare) out.coverShare = coverShare->number(0, 1);
-  node.done();
+  node.rejectUnknownKeys();
   return out;
 }
 
@@ -38,20 +38,20 @@
   for (Node one : node.list()) {
     Phase phase;
     const bool second = !out.phases.empty();
-    phase.least = second ? 1.0 : classMinimumShare;
+    phase.minimumShare = second ? 1.0 : classMinimumShare;
     if (auto text = one.find("expr")) phase.text = text->string();
     if (auto completeShare = one.find("whole")) phase.completeShare = completeShare->number(0, 1);
     if (auto minimumShare = one.find("least"))
-      phase.least = minimumShare->number(0, 1);
+      phase.minimumShare = minimumShare->number(0, 1);
     else
-      phase.least = std::min(phase.least, phase.completeShare);
-    if (auto timeShare = one.find("claim")) phase.claim = timeShare->number(0, 1);
+      phase.minimumShare = std::min(phase.minimumShare, phase.completeShare);
+    if (auto timeShare = one.find("claim")) phase.timeShare = timeShare->number(0, 1);
     if (second) {
-      phase.prune = readPrune(one.need("prune"));
+      phase.prune = readPrune(one.require("prune"));
       if (auto skip = one.find("skip")) phase.maySkip = skip->boolean();
       if (auto cut = one.find("cut")) phase.mayCut = cut->boolean();
     }
-    one.done();
+    one.rejectUnknownKeys();
     out.phases.push_back(std::move(phase));
   }
   if (const auto error = planError(out, classRequiredShare, classMinimumShare)) node.fail(*error);
--- a/src/phases/steps.hpp
+++ b/src/phases/steps.hpp
@@ -20,44 +20,45 @@
 
 // Estimates the time from the start of a phase (0 or 1) within which `parts` parts all answer with
 // probability `chance`. Nothing if it is unknown.
-using Needs = std::function<std::optional<Micros>(int phase, std::size_t parts, double chance)>;
+using PhaseTimeEstimator = std::function<std::optional<Micros>(int phase, std::size_t parts, double chance)>;
 
 constexpr Micros kNever = INT64_MAX;
 
 // Points in time on the host's clock, except `margin`.
-struct Times {
+struct TimeLimits {
   Micros now = 0;
   Micros queryStart = 0;  // the time shares of the plan are fractions of the time from here
   Micros aim = 0;         // an answer has its full worth until then
-  Micros until = 0;       // an answer has no worth from then on
+  Micros deadline = 0;    // an answer has no worth from then on
   Micros margin = 0;      // duration reserved for the turn and the way to the client
 };
 
 // What is known of the current phase.
-struct Sight {
+struct PhaseState {
   int phase = 0;  // 0 or 1
-  std::vector<Seen> parts;
+  std::vector<PartState> parts;
   bool stuck = false;  // no further part of this phase will answer
 };
 
 struct Step {
   enum class Kind : std::uint8_t {
-    wait,    // evaluate again when a part answers, or at the given time (kNever: only when a part answers)
-    second,  // begin the second phase
-    answer,  // answer the query, from the phase that `fromSecond` selects
-    stay,    // no further part will answer, and too little has answered for any answer: the query fails
+    wait,  // evaluate again when a part answers, or at the given time (kNever: only when a part answers)
+    beginSecond,  // begin the second phase
+    answer,       // answer the query, from the phase that `fromSecond` selects
+    blocked,      // no further part will answer, and too little has answered for any answer: the query fails
   };
   // How the current phase ended: with the plan's share for a complete phase; before that, to leave time for
   // the second phase; because its time was up; because no further part would answer.
-  enum class How : std::uint8_t { whole, early, late, stuck };
+  enum class PhaseEnd : std::uint8_t { complete, early, late, stuck };
   // What became of the second phase: there is none to run (yet); all selected shards are asked; fewer are
   // asked, for lack of time; it is not begun; it ran but the answer comes from the first phase.
-  enum class Second : std::uint8_t { none, whole, cut, skipped, failed };
+  enum class SecondPhase : std::uint8_t { none, complete, cut, skipped, failed };
   Kind kind = Kind::wait;
-  Micros at = 0;
-  How how = How::whole;
-  Second second = Second::none;
-  std::vector<std::size_t> ask;   // second phase: indices into the first phase's parts, best score first
+  Micros recheckAt = 0;
+  PhaseEnd phaseEnd = PhaseEnd::complete;
+  SecondPhase secondPhase = SecondPhase::none;
+  // Second phase: indices into the first phase's parts, best score first.
+  std::vector<std::size_t> selectedParts;
   std::size_t selectedCount = 0;  // shards that the plan's rule selects, before any were cut
   double noMatchWeight = 0;       // weight of the parts that have nothing to add
   bool lossless = true;           // the shards that the rule left out could not have changed the answer
@@ -66,12 +67,14 @@
 
 // When the first phase should be over, so that the second phase still fits. The module gets it as the phase's
 // aim, so it times hedges by it.
-Micros firstBy(const Plan& plan, std::size_t parts, const Times& t, const Needs& needs);
+Micros firstPhaseDue(const Plan& plan, std::size_t parts, const TimeLimits& t,
+                     const PhaseTimeEstimator& estimator);
 // When the second phase should be over.
-Micros secondBy(const Times& t);
+Micros secondPhaseDue(const TimeLimits& t);
 // The minimum share of a phase's weight that must answer for the phase to be of use.
-double leastOf(const Plan& plan, int phase);
+double minimumShareOf(const Plan& plan, int phase);
 
-Step next(const Plan& plan, const Sight& sight, const Times& t, const Needs& needs);
+Step nextStep(const Plan& plan, const PhaseState& state, const TimeLimits& t,
+              const PhaseTimeEstimator& estimator);
 
 }  // namespace cometdeal::phases
--- a/src/standin/frame_leaf.cpp
+++ b/src/standin/frame_leaf.cpp
@@ -65,14 +65,14 @@
     net::Frame frame;
     while (!c->closed) {
       const net::FrameReader::State state = c->reader.next(frame);
-      if (state == net::FrameReader::State::more) return read(c);
-      if (state == net::FrameReader::State::bad) return close(c, false);
-      if (frame.letter == 'D') handleCall(c, frame.rest);
+      if (state == net::FrameReader::State::needMore) return read(c);
+      if (state == net::FrameReader::State::malformed) return close(c, false);
+      if (frame.letter == 'D') handleCall(c, frame.content);
       if (frame.letter == 'I' || frame.letter == 'U') write(c, net::writeFrame(frame.letter, "200"));
       if (frame.letter == 'K') {
-        ++cancelled;
+        ++cancelsReceived;
         for (Part& p : parts_)
-          if (p.id == frame.rest && p.cancelled == 0 && !p.answered) p.cancelled = loop_.now();
+          if (p.id == frame.content && p.cancelledAt == 0 && !p.answered) p.cancelledAt = loop_.now();
       }
     }
   });
@@ -95,39 +95,39 @@
     std::from_chars(fields[1].data(), fields[1].data() + fields[1].size(), p.shard);
     std::from_chars(fields[3].data(), fields[3].data() + fields[3].size(), length);
     p.id = fields[0];
-    p.list = fields[2];
+    p.fields = fields[2];
     p.fetch = p.id.ends_with(".fetch");
-    if (const std::size_t named = p.list.find("from="); named != std::string::npos)
-      p.from = p.list.substr(named + 5, p.list.find(',', named) - named - 5);
+    if (const std::size_t named = p.fields.find("from="); named != std::string::npos)
+      p.answeredShards = p.fields.substr(named + 5, p.fields.find(',', named) - named - 5);
     p.text = content.substr(end + 1, length);
-    p.at = loop_.now();
+    p.receivedAt = loop_.now();
     at = end + 1 + length;
     handlePart(c, std::move(p));
   }
 }
 
 void FrameLeaf::handlePart(const std::shared_ptr<Connection>& c, Part p) {
-  ++asked;
+  ++partsReceived;
   const Reply answer = script(p);
   const std::string id = p.id;
   std::size_t index = SIZE_MAX;
-  if (keepSeen) {
+  if (recordParts) {
     index = parts_.size();
     parts_.push_back(std::move(p));
   }
-  if (answer.how == Reply::How::nothing) return;
-  if (answer.after <= 0) return reply(c, id, index, answer);
-  loop_.deadlines.add(loop_.now() + answer.after,
+  if (answer.action == Reply::Action::nothing) return;
+  if (answer.delay <= 0) return reply(c, id, index, answer);
+  loop_.deadlines.add(loop_.now() + answer.delay,
                       [this, c, id, index, answer] { reply(c, id, index, answer); });
 }
 
 void FrameLeaf::reply(const std::shared_ptr<Connection>& c, const std::string& id, std::size_t index,
                       const Reply& reply) {
   if (c->closed) return;
-  if (reply.how != Reply::How::answer) return close(c, reply.how == Reply::How::reset);
+  if (reply.action != Reply::Action::answer) return close(c, reply.action == Reply::Action::reset);
   if (index < parts_.size()) parts_[index].answered = true;
-  write(c, net::writeFrame('O', id + " " + std::to_string(reply.end) + " " + reply.score + " " +
-                                    reply.report + "\n" + reply.value));
+  write(c, net::writeFrame('O', id + " " + std::to_string(reply.status) + " " + reply.score + " " +
+                                    reply.loadReport + "\n" + reply.value));
 }
 
 void FrameLeaf::write(const std::shared_ptr<Connection>& c, const std::string& bytes) {
--- a/src/standin/frame_leaf.hpp
+++ b/src/standin/frame_leaf.hpp
@@ -20,20 +20,20 @@
 class FrameLeaf {
  public:
   struct Part {  // as received
-    std::string id, list, text;
+    std::string id, fields, text;
     int shard = 0;
-    bool fetch = false;    // of a second step
-    std::string from;      // of a second step: the shards that the first step has answers of
-    Micros at = 0;         // when it was received, on the loop's clock
-    Micros cancelled = 0;  // when its cancellation was received; 0: not cancelled
+    bool fetch = false;          // of a second step
+    std::string answeredShards;  // of a second step: the shards that the first step has answers of
+    Micros receivedAt = 0;       // when it was received, on the loop's clock
+    Micros cancelledAt = 0;      // when its cancellation was received; 0: not cancelled
     bool answered = false;
   };
-  struct Reply {                                                    // what to do with a part
-    enum class How : std::uint8_t { answer, nothing, cut, reset };  // cut and reset close the connection
-    How how = How::answer;
-    Micros after = 0;  // delay
-    int end = 200;     // status
-    std::string score = "0", report = "-", value = "v";
+  struct Reply {                                                         // what to do with a part
+    enum class Action : std::uint8_t { answer, nothing, close, reset };  // cut and reset close the connection
+    Action action = Action::answer;
+    Micros delay = 0;  // delay
+    int status = 200;  // status
+    std::string score = "0", loadReport = "-", value = "v";
   };
   using Script = std::function<Reply(const Part&)>;
 
@@ -42,12 +42,12 @@
   std::uint16_t port() const { return port_; }
   void stopListening();
   void closeAll(bool reset);  // closes all open connections; `reset`: with a TCP reset
-  std::size_t connections() const { return connections_.size(); }
+  std::size_t connectionCount() const { return connections_.size(); }
 
   Script script;
-  bool keepSeen = true;                    // false, for load generation: parts are only counted
-  std::uint64_t asked = 0, cancelled = 0;  // parts and cancellations received
-  const std::deque<Part>& seen() const { return parts_; }
+  bool recordParts = true;                               // false, for load generation: parts are only counted
+  std::uint64_t partsReceived = 0, cancelsReceived = 0;  // parts and cancellations received
+  const std::deque<Part>& parts() const { return parts_; }
 
  private:
   struct Connection;
--- a/src/standin/grpc_client.cpp
+++ b/src/standin/grpc_client.cpp
@@ -17,7 +17,7 @@
 GrpcClient::GrpcClient(net::Loop& loop, std::uint16_t port, http2::Limits limits) : loop_(loop) {
   tcp::socket socket(loop.strand);
   socket.connect(tcp::endpoint(boost::asio::ip::address_v4::loopback(), port));
-  peer_ = std::make_shared<Peer>(loop, std::move(socket), Session::Role::client, limits);
+  peer_ = std::make_shared<Http2Peer>(loop, std::move(socket), Session::Role::client, limits);
   peer_->onEvent = [this](Session::Event& e) { handleEvent(e); };
   peer_->onClosed = [this] {
     while (!calls_.empty()) endCall(calls_.begin()->first);
@@ -31,8 +31,8 @@
   peer_->close();
 }
 
-GrpcClient::Held GrpcClient::call(const std::string& path, http2::Fields metadata, std::string_view body,
-                                  bool end) {
+GrpcClient::ResultPtr GrpcClient::call(const std::string& path, http2::Fields metadata, std::string_view body,
+                                       bool end) {
   http2::Fields fields{{":method", "POST"},
                        {":scheme", "http"},
                        {":path", path},
@@ -42,7 +42,7 @@
   fields.insert(fields.end(), metadata.begin(), metadata.end());
   const auto id = peer_->session.open(fields, false);
   if (!id) return nullptr;
-  Held result = std::make_shared<Result>();
+  ResultPtr result = std::make_shared<Result>();
   result->stream = *id;
   result->beganAt = loop_.now();
   calls_[*id] = result;
@@ -52,19 +52,19 @@
   return result;
 }
 
-void GrpcClient::say(const Held& result, std::string_view body) {
+void GrpcClient::sendBody(const ResultPtr& result, std::string_view body) {
   peer_->session.write(result->stream, body);
   peer_->flush();
 }
-void GrpcClient::end(const Held& result) {
+void GrpcClient::finishRequest(const ResultPtr& result) {
   peer_->session.finish(result->stream);
   peer_->flush();
 }
-void GrpcClient::cancel(const Held& result) {
+void GrpcClient::cancel(const ResultPtr& result) {
   peer_->session.reset(result->stream, Code::cancel);
   peer_->flush();
 }
-void GrpcClient::release() {
+void GrpcClient::releaseWindow() {
   holding_ = false;
   for (const auto& [id, bytes] : std::exchange(held_, {})) peer_->session.consumed(id, bytes);
   peer_->flush();
@@ -73,13 +73,13 @@
 void GrpcClient::endCall(std::int32_t id) {
   const auto at = calls_.find(id);
   if (at == calls_.end()) return;
-  const Held result = at->second;
+  const ResultPtr result = at->second;
   calls_.erase(at);
   partial_.erase(id);
-  result->over = true;
+  result->ended = true;
   ++result->outcomes;
-  result->overAt = loop_.now();
-  if (onOver) onOver(result);
+  result->endedAt = loop_.now();
+  if (onEnd) onEnd(result);
 }
 
 void GrpcClient::handleEvent(Session::Event& event) {
@@ -87,9 +87,10 @@
     const auto at = calls_.find(first->stream);
     if (at == calls_.end()) return;
     Result& r = *at->second;
-    if (const std::string* http = http2::find(first->fields, ":status")) r.http = std::atoi(http->c_str());
-    r.firstAt = loop_.now();
-    r.head = first->fields;
+    if (const std::string* http = http2::find(first->fields, ":status"))
+      r.httpStatus = std::atoi(http->c_str());
+    r.headersAt = loop_.now();
+    r.headers = first->fields;
     if (first->end) r.trailers = first->fields;
   } else if (auto* last = std::get_if<Session::Trailers>(&event)) {
     const auto at = calls_.find(last->stream);
@@ -110,16 +111,16 @@
       if (partial.size() < size + 5) break;
       if (keepMessages) at->second->messages.push_back(partial.substr(5, size));
       partial.erase(0, size + 5);
-      const Held result = at->second;
+      const ResultPtr result = at->second;
       if (onMessage) onMessage(result);
     }
-  } else if (const auto* end = std::get_if<Session::End>(&event)) {
+  } else if (const auto* end = std::get_if<Session::EndStream>(&event)) {
     const auto at = calls_.find(end->stream);
     if (at == calls_.end()) return;
     Result& r = *at->second;
     if (const std::string* status = http2::find(r.trailers, "grpc-status"))
       r.status = std::atoi(status->c_str());
-    if (const std::string* text = http2::find(r.trailers, "grpc-message")) r.text = *text;
+    if (const std::string* text = http2::find(r.trailers, "grpc-message")) r.message = *text;
     endCall(end->stream);
   } else if (const auto* closed = std::get_if<Session::Closed>(&event)) {
     const auto at = calls_.find(closed->stream);
@@ -127,8 +128,8 @@
     at->second->reset = closed->code;
     endCall(closed->stream);
   } else if (const auto* away = std::get_if<Session::Goaway>(&event)) {
-    ++goaways;
-    goawayLast = away->last;
+    ++goawayCount;
+    goawayLastStream = away->lastStream;
     goawayCode = away->code;
   }
 }
--- a/src/standin/grpc_client.hpp
+++ b/src/standin/grpc_client.hpp
@@ -17,51 +17,53 @@
 class GrpcClient {
  public:
   struct Result {  // of one call, as far as it is known
-    bool over = false;
+    bool ended = false;
     int outcomes = 0;  // final outcomes received: trailers, a reset or the end of the connection
-    int http = 0;
-    int status = -1;   // grpc-status; -1: none received
-    std::string text;  // grpc-message
-    http2::Fields head, trailers;
+    int httpStatus = 0;
+    int status = -1;      // grpc-status; -1: none received
+    std::string message;  // grpc-message
+    http2::Fields headers, trailers;
     std::vector<std::string> messages;
     std::uint64_t bytes = 0;
     std::optional<http2::Code> reset;
     // On the loop's clock, in microseconds: the call began, its headers arrived, it ended.
-    std::int64_t beganAt = 0, firstAt = 0, overAt = 0;
+    std::int64_t beganAt = 0, headersAt = 0, endedAt = 0;
     std::int32_t stream = 0;
     const std::string& trailer(const char* name) const;  // empty: not received
   };
-  using Held = std::shared_ptr<Result>;
+  using ResultPtr = std::shared_ptr<Result>;
 
   GrpcClient(net::Loop& loop, std::uint16_t port, http2::Limits limits = {});
   ~GrpcClient();
-  Peer& peer() { return *peer_; }
+  Http2Peer& peer() { return *peer_; }
   bool closed() const { return peer_->closed(); }
 
   // Begins a call; nullptr if the connection accepts no new call. `body` is sent unchanged, so it has to
   // include the prefixes of its messages. `end`: the request ends with it.
-  Held call(const std::string& path, http2::Fields metadata, std::string_view body, bool end = true);
-  void say(const Held& result, std::string_view body);
-  void end(const Held& result);
-  void cancel(const Held& result);
-  void hold() { holding_ = true; }  // from now on data is read, but its flow control window is not freed
-  void release();                   // frees it, and no longer withholds it
+  ResultPtr call(const std::string& path, http2::Fields metadata, std::string_view body, bool end = true);
+  void sendBody(const ResultPtr& result, std::string_view body);
+  void finishRequest(const ResultPtr& result);
+  void cancel(const ResultPtr& result);
+  void holdWindow() {
+    holding_ = true;
+  }                      // from now on data is read, but its flow control window is not freed
+  void releaseWindow();  // frees it, and no longer withholds it
 
-  std::function<void(const Held& result)> onOver;  // the call has ended
-  std::function<void(const Held& result)> onMessage;
+  std::function<void(const ResultPtr& result)> onEnd;  // the call has ended
+  std::function<void(const ResultPtr& result)> onMessage;
   bool keepMessages = true;
-  int goaways = 0;
-  std::int32_t goawayLast = 0;
+  int goawayCount = 0;
+  std::int32_t goawayLastStream = 0;
   http2::Code goawayCode = http2::Code::none;
-  std::size_t open() const { return calls_.size(); }
+  std::size_t openCalls() const { return calls_.size(); }
 
  private:
   void handleEvent(http2::Session::Event& event);
   void endCall(std::int32_t id);
 
   net::Loop& loop_;
-  std::shared_ptr<Peer> peer_;
-  std::map<std::int32_t, Held> calls_;
+  std::shared_ptr<Http2Peer> peer_;
+  std::map<std::int32_t, ResultPtr> calls_;
   std::map<std::int32_t, std::string> partial_;  // bytes of an incomplete message, by stream
   std::map<std::int32_t, std::size_t> held_;     // bytes whose window is not freed, by stream
   bool holding_ = false;
--- a/src/standin/grpc_leaf.cpp
+++ b/src/standin/grpc_leaf.cpp
@@ -11,7 +11,7 @@
 using http2::Session;
 using tcp = boost::asio::ip::tcp;
 
-std::string message(std::string_view body, bool compressed) {
+std::string frameMessage(std::string_view body, bool compressed) {
   std::string out(1, compressed ? '\1' : '\0');
   for (int shift = 24; shift >= 0; shift -= 8) out += char((body.size() >> shift) & 255);
   return out.append(body);
@@ -44,7 +44,7 @@
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
     if (ec) return;
     const auto c = std::make_shared<Connection>();
-    c->peer = std::make_shared<Peer>(loop_, std::move(socket), Session::Role::server, limits_);
+    c->peer = std::make_shared<Http2Peer>(loop_, std::move(socket), Session::Role::server, limits_);
     std::weak_ptr<Connection> weak = c;
     c->peer->onEvent = [this, weak](Session::Event& e) {
       if (const auto held = weak.lock()) handleEvent(held, e);
@@ -70,12 +70,12 @@
   }
 }
 
-int GrpcLeaf::ran(const std::string& call) const {
+int GrpcLeaf::timesRun(const std::string& call) const {
   const auto at = timesRun_.find(call);
   return at == timesRun_.end() ? 0 : at->second;
 }
-std::size_t GrpcLeaf::connections() const { return connections_.size(); }
-std::size_t GrpcLeaf::streams() const {
+std::size_t GrpcLeaf::connectionCount() const { return connections_.size(); }
+std::size_t GrpcLeaf::streamCount() const {
   std::size_t out = 0;
   for (const auto& c : connections_) out += c->peer->session.streams();
   return out;
@@ -85,9 +85,9 @@
   if (auto* first = std::get_if<Session::Headers>(&event)) {
     const std::int32_t id = first->stream;
     if (id >= c->away) return;
-    ++begun;
+    ++callsReceived;
     Call call;
-    Seen record;
+    RecordedCall record;
     const auto field = [&](const char* name) {
       const std::string* found = http2::find(first->fields, name);
       return found ? *found : std::string();
@@ -104,7 +104,7 @@
     std::istringstream steps(script);
     for (std::string step; steps >> step;) call.steps.push_back(step);
     call.id = record.call;
-    if (keepSeen) {
+    if (recordCalls) {
       call.recordIndex = recordedCalls_.size();
       recordedCalls_.push_back(std::move(record));
     }
@@ -131,17 +131,17 @@
         call.toEcho.push_back(call.partial.substr(5, size));
       call.partial.erase(0, size + 5);
     }
-  } else if (const auto* end = std::get_if<Session::End>(&event)) {
+  } else if (const auto* end = std::get_if<Session::EndStream>(&event)) {
     id = end->stream;
     if (const auto at = c->calls.find(id); at != c->calls.end()) at->second.requestEnded = true;
-  } else if (const auto* room = std::get_if<Session::Room>(&event)) {
+  } else if (const auto* room = std::get_if<Session::SendBufferEmpty>(&event)) {
     id = room->stream;
   } else if (const auto* closed = std::get_if<Session::Closed>(&event)) {
     const auto at = c->calls.find(closed->stream);
     if (at == c->calls.end()) return;
-    if (!closed->local && closed->code != Code::none) ++resets;
+    if (!closed->local && closed->code != Code::none) ++resetsReceived;
     if (at->second.recordIndex < recordedCalls_.size()) {
-      Seen& record = recordedCalls_[at->second.recordIndex];
+      RecordedCall& record = recordedCalls_[at->second.recordIndex];
       (closed->code == Code::none ? record.endedAt : record.resetAt) = loop_.now();
     }
     c->calls.erase(at);
@@ -192,11 +192,11 @@
     } else if (verb == "message") {
       sendHeaders(*c, id, call);
       if (session.buffered(id) > 64UL * 1024) break;  // continues at the event Room
-      session.write(id, message(std::string(std::stoul(arg), 'm')));
+      session.write(id, frameMessage(std::string(std::stoul(arg), 'm')));
     } else if (verb == "echo") {
       sendHeaders(*c, id, call);
       while (!call.toEcho.empty()) {
-        session.write(id, message(call.toEcho.front()));
+        session.write(id, frameMessage(call.toEcho.front()));
         call.toEcho.pop_front();
       }
       if (!call.requestEnded) break;
@@ -216,7 +216,7 @@
         fields.insert(fields.end(), trailers.begin(), trailers.end());
         session.respond(id, fields, true);
       }
-      session.closeWhenSaid(id);
+      session.resetWhenFinished(id);
     } else if (verb == "nostatus") {
       sendHeaders(*c, id, call);
       call.over = true;
@@ -224,7 +224,7 @@
     } else if (verb == "http") {
       call.over = true;
       session.respond(id, {{":status", arg}}, true);
-      session.closeWhenSaid(id);
+      session.resetWhenFinished(id);
     } else if (verb == "reset") {
       call.over = true;
       session.reset(id, Code(std::stoul(arg)));
@@ -237,7 +237,7 @@
       if (id < c->last) {
         session.reset(id, Code::refusedStream);
       } else {
-        session.goawayBelow(id);
+        session.goawayRefusing(id);
         c->away = id;
       }
       break;
--- a/src/standin/grpc_leaf.hpp
+++ b/src/standin/grpc_leaf.hpp
@@ -35,7 +35,7 @@
 // Listens on `port` of 127.0.0.1; 0: on a free one.
 class GrpcLeaf {
  public:
-  struct Seen {  // what was received of one attempt
+  struct RecordedCall {  // what was received of one attempt
     std::string call, path, key;
     int attempt = 0;
     std::int64_t beganAt = 0, resetAt = 0, endedAt = 0;  // 0: not yet
@@ -52,12 +52,12 @@
   void closeAll(bool reset);  // closes all open connections; `reset`: with a TCP reset
   void ping(int number);      // sends so many PINGs on each connection
 
-  const std::deque<Seen>& seen() const { return recordedCalls_; }
-  int ran(const std::string& call) const;  // how many attempts of the call were run
-  std::size_t connections() const;
-  std::size_t streams() const;
-  bool keepMessages = true, keepSeen = true;
-  std::uint64_t begun = 0, resets = 0;  // calls and resets received
+  const std::deque<RecordedCall>& recordedCalls() const { return recordedCalls_; }
+  int timesRun(const std::string& call) const;  // how many attempts of the call were run
+  std::size_t connectionCount() const;
+  std::size_t streamCount() const;
+  bool keepMessages = true, recordCalls = true;
+  std::uint64_t callsReceived = 0, resetsReceived = 0;  // calls and resets received
 
  private:
   struct Call {
@@ -70,7 +70,7 @@
     std::deque<std::string> toEcho;
   };
   struct Connection {
-    std::shared_ptr<Peer> peer;
+    std::shared_ptr<Http2Peer> peer;
     std::map<std::int32_t, Call> calls;
     std::int32_t last = 0;          // stream of the latest call received
     std::int32_t away = INT32_MAX;  // calls from this stream on are ignored
@@ -86,11 +86,11 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   std::uint16_t port_ = 0;
   std::set<std::shared_ptr<Connection>> connections_;
-  std::deque<Seen> recordedCalls_;
+  std::deque<RecordedCall> recordedCalls_;
   std::map<std::string, int> timesRun_;
 };
 
 // A gRPC message with its prefix: the compressed flag and the length.
-std::string message(std::string_view body, bool compressed = false);
+std::string frameMessage(std::string_view body, bool compressed = false);
 
 }  // namespace cometdeal::standin
--- a/src/standin/http_client.cpp
+++ b/src/standin/http_client.cpp
@@ -15,7 +15,8 @@
   fields["expr"] = text;
   const std::string content = fields.dump();
   std::string out = "POST /api" + (key.empty() ? "" : "/" + key) + " HTTP/1.1\r\nHost: standin\r\n";
-  out += "X-Request-ID: " + id + "\r\nX-Priority-Class: " + cls + "\r\nX-Timeout: " + std::to_string(seconds);
+  out += "X-Request-ID: " + id + "\r\nX-Priority-Class: " + cls +
+         "\r\nX-Timeout: " + std::to_string(timeoutSeconds);
   if (!idempotencyKey.empty()) out += "\r\nIdempotency-Key: " + idempotencyKey;
   return out + "\r\nContent-Length: " + std::to_string(content.size()) + "\r\n\r\n" + content;
 }
@@ -36,14 +37,14 @@
   state_->socket.close(ignored);
 }
 
-bool HttpClient::ended() const {
+bool HttpClient::closedByPeer() const {
   char next = 0;
   return state_->closed || ::recv(state_->socket.native_handle(), &next, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-void HttpClient::ask(std::string request, Told told) {
-  if (state_->closed) return told({});
-  state_->waiting.emplace_back(std::move(request), std::move(told));
+void HttpClient::send(std::string request, OnReply onReply) {
+  if (state_->closed) return onReply({});
+  state_->waiting.emplace_back(std::move(request), std::move(onReply));
   if (state_->waiting.size() == 1) sendNext(state_);
 }
 
@@ -62,12 +63,12 @@
     if (ec) return endConnection(s);
     std::string_view in(s->incoming.data(), n);
     const net::HttpParser::State state = s->parser.feed(in);
-    if (state == net::HttpParser::State::bad) return endConnection(s);
-    if (state == net::HttpParser::State::more) return readReply(s);
+    if (state == net::HttpParser::State::malformed) return endConnection(s);
+    if (state == net::HttpParser::State::needMore) return readReply(s);
     const net::HttpMessage reply = s->parser.take();
-    const Told told = std::move(s->waiting.front().second);
+    const OnReply onReply = std::move(s->waiting.front().second);
     s->waiting.pop_front();
-    told(reply);
+    onReply(reply);
     if (s->closed) return;
     if (!reply.keepAlive) return endConnection(s);
     if (!s->waiting.empty()) sendNext(s);
--- a/src/standin/http_client.hpp
+++ b/src/standin/http_client.hpp
@@ -16,10 +16,10 @@
 namespace cometdeal::standin {
 
 // The HTTP request of a query. Every shard has the same weight. The fields of `body` (a JSON object) are
-// included in the request's body. `seconds`: the time-out.
+// included in the request's body. `timeoutSeconds`: the time-out.
 struct HttpQuery {
   std::string id, cls = "safe", key, idempotencyKey, text = "t", body;
-  double seconds = 5;
+  double timeoutSeconds = 5;
   std::vector<int> shards{0};
   std::string request() const;
 };
@@ -27,15 +27,15 @@
 class HttpClient {
  public:
   // A reply with status 0: the connection ended before the reply.
-  using Told = std::function<void(const net::HttpMessage& reply)>;
+  using OnReply = std::function<void(const net::HttpMessage& reply)>;
 
   HttpClient(net::Loop& loop, std::uint16_t port);
   ~HttpClient();
   // Sends the request once the requests before it have their replies.
-  void ask(std::string request, Told told);
+  void send(std::string request, OnReply onReply);
   void close();
   bool closed() const { return state_->closed; }
-  bool ended() const;  // closed, or the other side has closed it between requests
+  bool closedByPeer() const;  // closed, or the other side has closed it between requests
 
  private:
   struct State {
@@ -43,7 +43,7 @@
     boost::asio::ip::tcp::socket socket;
     net::HttpParser parser{net::HttpParser::Kind::response, 4UL << 20};
     std::array<char, 16384> incoming;
-    std::deque<std::pair<std::string, Told>> waiting;  // the first one is being sent or has been sent
+    std::deque<std::pair<std::string, OnReply>> waiting;  // the first one is being sent or has been sent
     bool closed = false;
   };
   static void sendNext(const std::shared_ptr<State>& s);
--- a/src/standin/peer.cpp
+++ b/src/standin/peer.cpp
@@ -6,7 +6,7 @@
 
 using boost::system::error_code;
 
-void Peer::start() {
+void Http2Peer::start() {
   error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
@@ -14,12 +14,12 @@
   read();
 }
 
-std::uint16_t Peer::localPort() const {
+std::uint16_t Http2Peer::localPort() const {
   error_code ignored;
   return socket_.local_endpoint(ignored).port();
 }
 
-void Peer::read() {
+void Http2Peer::read() {
   if (closed_ || paused_ || reading_) return;
   reading_ = true;
   socket_.async_read_some(
@@ -35,23 +35,23 @@
       });
 }
 
-void Peer::resume() {
+void Http2Peer::resumeReading() {
   paused_ = false;
   read();
 }
 
-void Peer::handleEvents() {
+void Http2Peer::handleEvents() {
   while (!closed_ && session.hasEvents())
-    for (http2::Session::Event& event : session.take())
+    for (http2::Session::Event& event : session.takeEvents())
       if (onEvent) onEvent(event);
 }
 
-void Peer::flush() {
+void Http2Peer::flush() {
   if (closed_ || writing_ || flushing_) return;
   flushing_ = true;
   const auto self = shared_from_this();
   while (!closed_) {
-    const std::string_view bytes = session.front();
+    const std::string_view bytes = session.nextBytes();
     if (session.hasEvents()) {
       handleEvents();
       if (bytes.empty()) continue;
@@ -59,7 +59,7 @@
     if (bytes.empty() || closed_) break;
     error_code ec;
     const std::size_t n = socket_.write_some(boost::asio::buffer(bytes.data(), bytes.size()), ec);
-    session.wrote(n);
+    session.bytesWritten(n);
     if (ec == boost::asio::error::would_block) {
       writing_ = true;
       socket_.async_wait(tcp::socket::wait_write, [self](error_code) {
@@ -73,14 +73,14 @@
   flushing_ = false;
 }
 
-void Peer::raw(const std::string& bytes) {
+void Http2Peer::writeRaw(const std::string& bytes) {
   error_code ignored;
   socket_.non_blocking(false, ignored);
   boost::asio::write(socket_, boost::asio::buffer(bytes), ignored);
   socket_.non_blocking(true, ignored);
 }
 
-void Peer::close(bool reset) {
+void Http2Peer::close(bool reset) {
   if (std::exchange(closed_, true)) return;
   error_code ignored;
   if (reset) socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
--- a/src/standin/peer.hpp
+++ b/src/standin/peer.hpp
@@ -13,18 +13,18 @@
 
 namespace cometdeal::standin {
 
-class Peer : public std::enable_shared_from_this<Peer> {
+class Http2Peer : public std::enable_shared_from_this<Http2Peer> {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  Peer(net::Loop& loop, tcp::socket socket, http2::Session::Role role, http2::Limits limits = {})
+  Http2Peer(net::Loop& loop, tcp::socket socket, http2::Session::Role role, http2::Limits limits = {})
       : loop_(loop), socket_(std::move(socket)), session(role, limits) {}
 
-  void start();                     // to be called once the socket is connected
-  void flush();                     // to be called after every change to the session
-  void pause() { paused_ = true; }  // stops reading, so that the kernel's receive buffer fills
-  void resume();
-  void raw(const std::string& bytes);  // writes to the socket directly, without the session
+  void start();                            // to be called once the socket is connected
+  void flush();                            // to be called after every change to the session
+  void pauseReading() { paused_ = true; }  // stops reading, so that the kernel's receive buffer fills
+  void resumeReading();
+  void writeRaw(const std::string& bytes);  // writes to the socket directly, without the session
   void close(bool reset = false);
   bool closed() const { return closed_; }
   std::uint16_t localPort() const;
--- a/src/tool/check.cpp
+++ b/src/tool/check.cpp
@@ -16,42 +16,43 @@
 
 using check::Result;
 using check::Scope;
-using net::Plant;
+using net::InjectedFault;
 
 struct FaultInfo {
   const char* name;
-  Plant fault;
+  InjectedFault fault;
   const char* what;      // its effect
   const char* property;  // the property that it violates
 };
 constexpr FaultInfo kFaults[] = {
-    {"send-after-answer", Plant::sendAfterAnswer,
+    {"send-after-answer", InjectedFault::sendAfterAnswer,
      "parts queued on a connection are not withdrawn at the final answer", "nothing-after"},
-    {"late-reply-counts", Plant::lateReplyCounts,
+    {"late-reply-counts", InjectedFault::lateReplyCounts,
      "a cancel races with a late reply: the answer to an abandoned attempt ends another one", "one-end"},
-    {"stall-meets-timeout", Plant::stallMeetsTimeout,
+    {"stall-meets-timeout", InjectedFault::stallMeetsTimeout,
      "a stall overlaps a time-out: an attempt that timed out ends again with its connection", "one-end"},
-    {"drain-crosses-send", Plant::drainCrossesSend,
+    {"drain-crosses-send", InjectedFault::drainCrossesSend,
      "a part is sent to a server in the turn in which its drain is reported", "drain"},
-    {"slot-without-generation", Plant::slotWithoutNewGeneration, "a slot is reused with its old generation",
-     "no-leak"},
-    {"reset-for-connect", Plant::resetTakenForConnect,
+    {"slot-without-generation", InjectedFault::slotWithoutNewGeneration,
+     "a slot is reused with its old generation", "no-leak"},
+    {"reset-for-connect", InjectedFault::resetTakenForConnect,
      "an attempt that was written completely ends as not connected", "written"},
-    {"shared-id", Plant::sharedId,
+    {"shared-id", InjectedFault::sharedId,
      "a newer attempt uses a connection on which the older one's answer may still arrive", "nothing-after"},
-    {"answer-twice", Plant::answerTwice, "a query that has been answered is answered again", "one-answer"},
-    {"keyed-again", Plant::keyedAgain, "the limit on attempts and the window for repeats are ignored",
+    {"answer-twice", InjectedFault::answerTwice, "a query that has been answered is answered again",
+     "one-answer"},
+    {"keyed-again", InjectedFault::keyedAgain, "the limit on attempts and the window for repeats are ignored",
      "window"},
-    {"foreign-value", Plant::foreignValue, "an answer counts for another part on its connection",
+    {"foreign-value", InjectedFault::foreignValue, "an answer counts for another part on its connection",
      "own-value"},
-    {"leak-on-withdraw", Plant::leakOnWithdraw,
+    {"leak-on-withdraw", InjectedFault::leakOnWithdraw,
      "an attempt withdrawn in the turn that created it still counts as outstanding", "no-leak"},
-    {"short-answer", Plant::shortAnswer,
+    {"short-answer", InjectedFault::shortAnswer,
      "a phase that expects no further answers is answered from those it has, however few", "least-share"},
-    {"look-after-end", Plant::lookAfterEnd, "a query in phases keeps its evaluation timer when it ends",
-     "no-leak"},
-    {"late-backstop", Plant::lateBackstop, "no backstop ends a query that the decision module leaves open",
-     "in-time"},
+    {"look-after-end", InjectedFault::lookAfterEnd,
+     "a query in phases keeps its evaluation timer when it ends", "no-leak"},
+    {"late-backstop", InjectedFault::lateBackstop,
+     "no backstop ends a query that the decision module leaves open", "in-time"},
 };
 
 const std::map<std::string, Scope> kSizes = {
@@ -63,7 +64,7 @@
 };
 
 struct Options {
-  std::string size = "tiny", plant;
+  std::string size = "tiny", faultName;
   Scope scope = kSizes.at(size);
   check::Limits limits;
   std::uint64_t walk = 0, seed = 1;
@@ -85,7 +86,7 @@
                           {"complete", r.complete},
                           {"seconds", r.seconds},
                           {"memory_mb", r.memoryMb},
-                          {"plant", o.plant.empty() ? nlohmann::json() : nlohmann::json(o.plant)},
+                          {"plant", o.faultName.empty() ? nlohmann::json() : nlohmann::json(o.faultName)},
                           {"broken", nullptr}};
     if (r.counterexample)
       out["broken"] = {{"property", r.counterexample->property},
@@ -110,9 +111,9 @@
 }
 
 int run(const Options& o) {
-  if (o.plant == "list") return listFaults();
+  if (o.faultName == "list") return listFaults();
   for (const FaultInfo& fault : kFaults)
-    if (o.plant == fault.name) net::planted = fault.fault;
+    if (o.faultName == fault.name) net::injectedFault = fault.fault;
   const check::Progress progress = [&](int depth, std::uint64_t newStates, std::uint64_t allStates) {
     if (!o.quiet && !o.json)
       std::fprintf(stderr, "depth %d: %llu new states, %llu in total\n", depth, (unsigned long long)newStates,
@@ -186,7 +187,7 @@
       ->check(CLI::Range(1, 100000));
   c->add_option("--memory-mb", o->limits.memoryMb, "stop at this much resident memory, in MB")
       ->capture_default_str();
-  c->add_option("--plant", o->plant, "inject a fault; 'list' lists them")->check(CLI::IsMember(faults));
+  c->add_option("--plant", o->faultName, "inject a fault; 'list' lists them")->check(CLI::IsMember(faults));
   c->add_option("--walk", o->walk, "take this many random steps instead of exploring every state")
       ->check(CLI::PositiveNumber);
   c->add_option("--seed", o->seed, "seed of the random walk")->needs("--walk");
--- a/src/tool/lab.cpp
+++ b/src/tool/lab.cpp
@@ -47,12 +47,12 @@
 std::shared_ptr<phases::Plan> makePlan(bool twoPhases) {
   auto out = std::make_shared<phases::Plan>();
   out->phases.resize(twoPhases ? 2 : 1);
-  out->phases[0].least = 0.75;
+  out->phases[0].minimumShare = 0.75;
   if (!twoPhases) return out;
-  out->phases[0].claim = 0.6;
-  out->phases[1].claim = 0.4;
-  out->phases[1].least = 0.5;
-  out->phases[1].prune.most = 4;
+  out->phases[0].timeShare = 0.6;
+  out->phases[1].timeShare = 0.4;
+  out->phases[1].minimumShare = 0.5;
+  out->phases[1].prune.maxShards = 4;
   return out;
 }
 
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -108,10 +108,10 @@
           text(one, "effect"), {{"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}},
           "effect");
     cls.repeatWindow = optionalMicros(one, "dedupWindow");
-    cls.need = numberAt(family, "needByClass", index, 1.0);
-    cls.floor = numberAt(family, "classFloor", index, cls.need);
-    cls.partial = numberAt(family, "classPartial", index, 0.0);
-    cls.followUp = static_cast<int>(numberAt(family, "followUp", index, 0.0));
+    cls.requiredShare = numberAt(family, "needByClass", index, 1.0);
+    cls.minimumShare = numberAt(family, "classFloor", index, cls.requiredShare);
+    cls.partialFactor = numberAt(family, "classPartial", index, 0.0);
+    cls.secondStepParts = static_cast<int>(numberAt(family, "followUp", index, 0.0));
     out.classes.push_back(cls);
     ++index;
   }
@@ -126,12 +126,12 @@
   out.tick = optionalMicros(info, "tick").value_or(0);
   out.cells = smallInteger(family, "positions", 1);
   out.reach = smallInteger(family, "reach", 1);
-  out.bundleMax = smallInteger(family, "bundleMax", 1);
+  out.maxPartsPerCall = smallInteger(family, "bundleMax", 1);
   out.mayCancel = flag(limits, "cancel", false);
-  out.maySecondCopy = flag(limits, "secondCopies", false);
+  out.mayHedge = flag(limits, "secondCopies", false);
   out.mustAskDiscovery = has(info, "discovery") && text(info, "discovery") == "on_request";
   if (has(limits, "maxAttempts")) out.maxAttempts = smallInteger(limits, "maxAttempts", 0);
-  out.connIdle = optionalMicros(limits, "connIdle");
+  out.connectionIdleTimeout = optionalMicros(limits, "connIdle");
   if (has(limits, "maxOpen")) out.maxOpen = smallInteger(limits, "maxOpen", 0);
   if (flag(limits, "retryAfter", false)) out.maxRetryAfter = optionalMicros(limits, "maxRetryAfter");
   out.askWithin = optionalMicros(safety, "askWithin");
@@ -144,9 +144,9 @@
     out.cold = cold;
   }
   if (has(safety, "lookBack") && (has(safety, "minExtra") || has(safety, "furtherRatio"))) {
-    BudgetRule budget;
-    budget.free = number(safety, "minExtra", 0.0);
-    budget.share = number(safety, "furtherRatio", 0.0);
+    AttemptBudget budget;
+    budget.baseAttempts = number(safety, "minExtra", 0.0);
+    budget.attemptsPerRequest = number(safety, "furtherRatio", 0.0);
     budget.window = micros(safety, "lookBack");
     out.budget = budget;
   }
@@ -169,7 +169,7 @@
   LoadReport out;
   for (std::size_t k = 0; k < row.size() && k < columns.size(); ++k) {
     if (row[k].is_null()) continue;
-    if (columns[k] == "active") out.held = number(row[k], "healthInfo");
+    if (columns[k] == "active") out.active = number(row[k], "healthInfo");
     if (columns[k] == "waiting") out.waiting = number(row[k], "healthInfo");
   }
   return out;
@@ -250,7 +250,7 @@
     return object("AbortAttempt", {{"i", i}, {"tid", a.part}, {"n", a.attempt}});
   }
   Json operator()(const Answer& a) const {
-    return object("Conclude", {{"i", i}, {"tid", a.query}, {"full", a.whole}});
+    return object("Conclude", {{"i", i}, {"tid", a.query}, {"full", a.complete}});
   }
   Json operator()(const Refuse& a) const {
     Json body = {{"i", i}, {"tid", a.query}};
@@ -309,7 +309,7 @@
       std::erase(order, i);
       events.erase(i);
     } else if (name == "PeersKnown") {
-      ListArrived event;
+      ServerListArrived event;
       event.kind = enumValue<ListKind>(text(body, "mode"),
                                        {{"restored", ListKind::restored},
                                         {"replace", ListKind::complete},
@@ -331,7 +331,7 @@
     } else if (name == "Wakeup") {
       add(i, TimerFired{});
     } else if (name == "Hangup") {
-      add(i, ClientGone{text(body, "tid")});
+      add(i, QueryCancelled{text(body, "tid")});
     } else if (name == "Started" || name == "Peer" || name == "Probed") {
       continue;  // not used by the decision module: streams, messages among instances and probe results
     } else {
