--- a/tests/aggregator_test.cpp
+++ b/tests/aggregator_test.cpp
@@ -14,7 +14,7 @@
 
 // The home server of each of 20 keys.
 std::map<std::string, std::string> homesByKey(std::uint64_t seed) {
-  Rig rig(plainSettings(), seed);
+  AggregatorRig rig(plainSettings(), seed);
   rig.servers(fleet(4));
   std::map<std::string, std::string> out;
   for (int k = 0; k < 20; ++k) {
@@ -36,7 +36,7 @@
 }
 
 TEST(Design, HomeIsLeftWhenItHoldsFarMoreThanTheShardsMean) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
   for (int k = 0; k < 8; ++k) rig.query(1, 0, 4000 * ms, "hot");
   std::map<std::string, int> count;
@@ -46,34 +46,34 @@
 }
 
 TEST(Design, NoCopyBeforeTheBucketHoldsAToken) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
   rig.query(1);
-  rig.pass(900 * ms);
+  rig.advance(900 * ms);
   EXPECT_EQ(rig.sends.size(), 1u);
 }
 
 TEST(Design, ALatePartGetsOneCopyOnAnotherReplicaAndTheTwinIsCancelled) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(20, 50 * ms);
+  rig.warmUp(20, 50 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1);
-  rig.pass(45 * ms);
+  rig.advance(45 * ms);
   EXPECT_EQ(rig.sends.size(), before + 1);
-  rig.pass(400 * ms);
+  rig.advance(400 * ms);
   ASSERT_EQ(rig.sends.size(), before + 2);
   EXPECT_NE(rig.sends[before].server, rig.sends[before + 1].server);
   rig.finish(before + 1);
   ASSERT_EQ(rig.cancels.size(), 1u);
   EXPECT_EQ(rig.cancels[0].attempt, 0);
-  EXPECT_TRUE(rig.answers.back().whole);
+  EXPECT_TRUE(rig.answers.back().complete);
 }
 
 TEST(Design, AFailedPartIsSentAgainElsewhereThroughTheBucket) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(20, 50 * ms);
+  rig.warmUp(20, 50 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1);
   rig.finish(before, Outcome::error);
@@ -82,14 +82,14 @@
 }
 
 TEST(Design, CopiesStayNearATenthOfThePartsEvenWhenAllAreLate) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(20, 20 * ms);
+  rig.warmUp(20, 20 * ms);
   const std::size_t before = rig.sends.size();
   for (int k = 0; k < 40; ++k) {
     rig.query(1, 0, 4000 * ms, "x" + std::to_string(k));
     const std::size_t at = rig.sends.size() - 1;
-    rig.pass(300 * ms);
+    rig.advance(300 * ms);
     rig.finish(at);
   }
   EXPECT_LE(rig.sends.size() - before, 40u + 2u + 4u + 1u);
@@ -98,46 +98,47 @@
 // ---- Rule 1: each query gets one final answer ----
 
 TEST(Rules, EveryQueryEndsOnceBeforeItsTimeAndNothingIsSentAfter) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(2));
   rig.query(3, 0, 2000 * ms);
-  rig.pass(1995 * ms);
-  EXPECT_EQ(rig.ended(), 1u);
+  rig.advance(1995 * ms);
+  EXPECT_EQ(rig.finalAnswers(), 1u);
   const std::size_t sent = rig.sends.size();
-  rig.pass(1000 * ms);
-  EXPECT_EQ(rig.ended(), 1u);
+  rig.advance(1000 * ms);
+  EXPECT_EQ(rig.finalAnswers(), 1u);
   EXPECT_EQ(rig.sends.size(), sent);
 }
 
 TEST(Rules, WithNoServerKnownAQueryIsGivenUpAtOnce) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.query(2);
-  EXPECT_EQ(rig.ended(), 1u);
+  EXPECT_EQ(rig.finalAnswers(), 1u);
   EXPECT_TRUE(rig.sends.empty());
 }
 
 TEST(Rules, ALateOutcomeAndAHangupOfAnEndedQueryAreIgnored) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(2));
   const std::string id = rig.query(1);
   rig.finish(0);
-  EXPECT_EQ(rig.ended(), 1u);
-  rig.step({ClientGone{id}, AttemptEnded{"q1.0", 0, Outcome::done, "s0", 0, {}}, ClientGone{"never"}});
-  EXPECT_EQ(rig.ended(), 1u);
+  EXPECT_EQ(rig.finalAnswers(), 1u);
+  rig.step(
+      {QueryCancelled{id}, AttemptEnded{"q1.0", 0, Outcome::done, "s0", 0, {}}, QueryCancelled{"never"}});
+  EXPECT_EQ(rig.finalAnswers(), 1u);
 }
 
 TEST(Rules, AHangupEndsTheQueryWithoutAnAnswer) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(2));
-  rig.step({ClientGone{rig.query(2)}});
+  rig.step({QueryCancelled{rig.query(2)}});
   EXPECT_EQ(rig.cancels.size(), 2u);
-  rig.pass(4000 * ms);
-  EXPECT_EQ(rig.ended(), 0u);
+  rig.advance(4000 * ms);
+  EXPECT_EQ(rig.finalAnswers(), 0u);
   EXPECT_EQ(rig.sends.size(), 2u);
 }
 
 TEST(Rules, AnUnknownClassIsRefusedNotDropped) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(2));
   rig.query(1, 5);
   EXPECT_EQ(rig.refusals.size(), 1u);
@@ -150,15 +151,15 @@
   Settings set = plainSettings();
   set.classes.push_back(set.classes[0]);
   set.classes[1].effect = Effect::unsafe;
-  Rig rig(set);
+  AggregatorRig rig(set);
   rig.servers(fleet(3));
-  rig.warm(30, 50 * ms, 1);
-  const std::size_t before = rig.sends.size(), ended = rig.ended();
+  rig.warmUp(30, 50 * ms, 1);
+  const std::size_t before = rig.sends.size(), ended = rig.finalAnswers();
   rig.query(1, 1);
   rig.finish(before, GetParam());
-  rig.pass(4000 * ms);
+  rig.advance(4000 * ms);
   EXPECT_EQ(rig.sends.size(), before + 1);
-  EXPECT_EQ(rig.ended(), ended + 1);
+  EXPECT_EQ(rig.finalAnswers(), ended + 1);
   EXPECT_EQ(rig.refusals.size(), 0u);
   EXPECT_EQ(rig.fails.size(), 1u);
 }
@@ -170,9 +171,9 @@
 TEST_P(NeverRan, AnUnsafePartIsSentAgainElsewhere) {
   Settings set = plainSettings();
   set.classes[0].effect = Effect::unsafe;
-  Rig rig(set);
+  AggregatorRig rig(set);
   rig.servers(fleet(3));
-  rig.warm(30, 50 * ms);
+  rig.warmUp(30, 50 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1);
   rig.finish(before, GetParam());
@@ -184,12 +185,12 @@
 TEST(Rules, AnUnsafeLatePartGetsNoCopy) {
   Settings set = plainSettings();
   set.classes[0].effect = Effect::unsafe;
-  Rig rig(set);
+  AggregatorRig rig(set);
   rig.servers(fleet(3));
-  rig.warm(30, 50 * ms);
+  rig.warmUp(30, 50 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1);
-  rig.pass(900 * ms);
+  rig.advance(900 * ms);
   EXPECT_EQ(rig.sends.size(), before + 1);
 }
 
@@ -198,14 +199,14 @@
     Settings set = plainSettings();
     set.classes[0].effect = Effect::keyed;
     set.classes[0].repeatWindow = 300 * ms;
-    Rig rig(set);
+    AggregatorRig rig(set);
     rig.servers(fleet(3));
-    rig.warm(30, 500 * ms);  // no hedge before 500 ms
+    rig.warmUp(30, 500 * ms);  // no hedge before 500 ms
     const std::size_t before = rig.sends.size();
     rig.query(1);
-    rig.pass(inTime ? 200 * ms : 310 * ms);
+    rig.advance(inTime ? 200 * ms : 310 * ms);
     rig.finish(before, Outcome::error);
-    rig.pass(500 * ms);
+    rig.advance(500 * ms);
     EXPECT_EQ(rig.sends.size(), before + (inTime ? 2u : 1u));
   }
 }
@@ -214,7 +215,7 @@
 
 TEST(Rules, NothingGoesToADrainingOrGoneServer) {
   for (const ServerState state : {ServerState::draining, ServerState::gone}) {
-    Rig rig(plainSettings());
+    AggregatorRig rig(plainSettings());
     rig.servers(fleet(3));
     rig.servers({{"s1", 0, 0, state, {}}}, ListKind::changes);
     for (int k = 0; k < 30; ++k) rig.query(1, 0, 4000 * ms, std::to_string(k));
@@ -224,7 +225,7 @@
 }
 
 TEST(Rules, AServerThatACompleteListOmitsIsGone) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
   rig.servers(fleet(1));
   for (int k = 0; k < 10; ++k) rig.query(1, 0, 4000 * ms, std::to_string(k));
@@ -235,7 +236,7 @@
   Settings set = plainSettings();
   set.cells = 4;
   set.reach = 2;
-  Rig rig(set);
+  AggregatorRig rig(set);
   std::vector<ServerEntry> ring = fleet(4);
   for (int k = 0; k < 4; ++k) ring[std::size_t(k)].cell = k;
   rig.servers(ring);
@@ -257,10 +258,10 @@
     Settings set = plainSettings();
     set.instances = 60;
     set.cold = ColdRule{0.2, 100000 * ms, 2.0, 1000 * ms};
-    Rig rig(set, seed);
+    AggregatorRig rig(set, seed);
     auto entries = fleet(2);
     rig.servers(entries);
-    rig.warm(10, 50 * ms);
+    rig.warmUp(10, 50 * ms);
     entries[0].started = rig.now;
     rig.servers(entries);
     for (int k = 0; k < 10; ++k) {
@@ -268,7 +269,7 @@
       cold += rig.sends.back().server == "s0";
       warm += rig.sends.back().server == "s1";
       rig.finish(rig.sends.size() - 1);
-      rig.pass(200 * ms);
+      rig.advance(200 * ms);
     }
   }
   EXPECT_GT(cold, 0);
@@ -279,7 +280,7 @@
 TEST(Rules, ARestartSeenByANewStartTimeMakesAServerCold) {
   Settings set = plainSettings();
   set.cold = ColdRule{0.25, 10000 * ms, 2.0, 1000 * ms};
-  Rig rig(set);
+  AggregatorRig rig(set);
   rig.now = 100000 * ms;
   rig.servers(fleet(1));
   for (int k = 0; k < 5; ++k) rig.query(1, 0, 4000 * ms, std::to_string(k));
@@ -293,72 +294,72 @@
 
 Settings partialSettings() {
   Settings set = plainSettings();
-  set.classes[0].floor = 0.5;
-  set.classes[0].partial = 0.9;
+  set.classes[0].minimumShare = 0.5;
+  set.classes[0].partialFactor = 0.9;
   return set;
 }
 
 TEST(Rules, NoAnswerBelowTheFloorAndNoneMarkedWholeThatIsNot) {
   for (const int doneParts : {1, 2}) {
-    Rig rig(partialSettings());
+    AggregatorRig rig(partialSettings());
     rig.servers(fleet(3));
     rig.query(4);
     for (int k = 0; k < doneParts; ++k) rig.finish(std::size_t(k));
     EXPECT_TRUE(rig.answers.empty());  // waits for the other parts until the aim
-    rig.pass(4000 * ms);
-    EXPECT_EQ(rig.ended(), 1u);
+    rig.advance(4000 * ms);
+    EXPECT_EQ(rig.finalAnswers(), 1u);
     ASSERT_EQ(rig.answers.size(), doneParts == 2 ? 1u : 0u);
     if (doneParts == 2) {
-      EXPECT_FALSE(rig.answers[0].whole);
+      EXPECT_FALSE(rig.answers[0].complete);
     }
   }
 }
 
 TEST(Rules, APartCountsOnceWhateverItsAttempts) {
-  Rig rig(partialSettings());
+  AggregatorRig rig(partialSettings());
   rig.servers(fleet(3));
-  rig.warm(30, 50 * ms);
+  rig.warmUp(30, 50 * ms);
   const std::size_t answers = rig.answers.size(), before = rig.sends.size();
   rig.query(4);
-  rig.pass(300 * ms);
+  rig.advance(300 * ms);
   ASSERT_GT(rig.sends.size(), before + 4);
   const Send hedge = rig.sends[before + 4];
   for (int n = 0; n < 2; ++n) rig.step({AttemptEnded{hedge.part, n, Outcome::done, hedge.server, 0, {}}});
-  rig.pass(600 * ms);
+  rig.advance(600 * ms);
   EXPECT_EQ(rig.answers.size(), answers);
 }
 
 TEST(Rules, ASecondAnswerIsWholeOnlyIfTheFirstWas) {
   for (const bool first : {true, false}) {
     Settings set = partialSettings();
-    set.classes[0].followUp = 1;
-    Rig rig(set);
+    set.classes[0].secondStepParts = 1;
+    AggregatorRig rig(set);
     rig.servers(fleet(3));
     rig.query(2);
     rig.finish(0);
     if (first)
       rig.finish(1);
     else
-      rig.pass(1000 * ms);
+      rig.advance(1000 * ms);
     ASSERT_EQ(rig.answers.size(), 1u);
-    EXPECT_EQ(rig.answers[0].whole, first);
+    EXPECT_EQ(rig.answers[0].complete, first);
     rig.step({PartArrived{"q1.f", 1, 0, 1.0}});
     rig.finish(rig.sends.size() - 1);
     ASSERT_EQ(rig.answers.size(), 2u);
-    EXPECT_EQ(rig.answers[1].whole, first);
+    EXPECT_EQ(rig.answers[1].complete, first);
   }
 }
 
 TEST(Rules, SharesThatAreMetExactlyCount) {  // 4 x 1/6 equals 2/3 within rounding
   Settings set = plainSettings();
-  set.classes[0].need = set.classes[0].floor = 2.0 / 3.0;
-  Rig rig(set);
+  set.classes[0].requiredShare = set.classes[0].minimumShare = 2.0 / 3.0;
+  AggregatorRig rig(set);
   rig.servers(fleet(3));
   rig.query(6);
   ASSERT_EQ(rig.sends.size(), 4u);  // the other two are spares
   for (std::size_t k = 0; k < 4; ++k) rig.finish(k);
   ASSERT_EQ(rig.answers.size(), 1u);
-  EXPECT_TRUE(rig.answers[0].whole);
+  EXPECT_TRUE(rig.answers[0].complete);
 }
 
 // ---- Rule 6: the budget limits attempts ----
@@ -366,11 +367,11 @@
 TEST(Rules, FurtherAttemptsStayWithinTheBudgetWhereOneIsTold) {
   for (const bool limited : {true, false}) {
     Settings set = plainSettings();
-    if (limited) set.budget = BudgetRule{1.0, 0.0, 2000 * ms};
-    Rig rig(set);
+    if (limited) set.budget = AttemptBudget{1.0, 0.0, 2000 * ms};
+    AggregatorRig rig(set);
     rig.servers(fleet(3));
-    rig.warm(100, 20 * ms);
-    rig.pass(2100 * ms);
+    rig.warmUp(100, 20 * ms);
+    rig.advance(2100 * ms);
     const std::size_t before = rig.sends.size();
     rig.query(6);
     for (std::size_t k = 0; k < 6; ++k) rig.finish(before + k, Outcome::error);
@@ -380,46 +381,46 @@
 
 TEST(Rules, ASpareInPlaceOfALatePartCostsNoBudget) {
   Settings set = plainSettings();
-  set.classes[0].need = set.classes[0].floor = 0.5;
-  set.budget = BudgetRule{0.0, 0.0, 2000 * ms};
-  Rig rig(set);
+  set.classes[0].requiredShare = set.classes[0].minimumShare = 0.5;
+  set.budget = AttemptBudget{0.0, 0.0, 2000 * ms};
+  AggregatorRig rig(set);
   rig.servers(fleet(3));
   rig.query(4);
   ASSERT_EQ(rig.sends.size(), 2u);
   rig.finish(0);
-  rig.pass(250 * ms);
+  rig.advance(250 * ms);
   ASSERT_EQ(rig.sends.size(), 3u);
   EXPECT_NE(rig.sends[2].part, rig.sends[1].part);
 }
 
 TEST(Rules, MaxAttemptsAndForbiddenCopiesAndCancelsHold) {
   Settings set = plainSettings();
-  set.maySecondCopy = set.mayCancel = false;
-  Rig rig(set);
+  set.mayHedge = set.mayCancel = false;
+  AggregatorRig rig(set);
   rig.servers(fleet(3));
-  rig.warm(30, 50 * ms);
+  rig.warmUp(30, 50 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1);
-  rig.pass(4000 * ms);
+  rig.advance(4000 * ms);
   EXPECT_EQ(rig.sends.size(), before + 1);
   EXPECT_TRUE(rig.cancels.empty());
-  EXPECT_EQ(rig.ended(), 31u);
+  EXPECT_EQ(rig.finalAnswers(), 31u);
 }
 
 // ---- Health: latency and ejection of servers ----
 
 // Serves a query, so that the connection to its server has just been in use. Returns that server.
-std::string serveOneQuery(Rig& rig) {
+std::string serveOneQuery(AggregatorRig& rig) {
   rig.query(1, 0, 4000 * ms, "quiet");
   const std::string server = rig.sends.back().server;
   rig.finish(rig.sends.size() - 1);
   return server;
 }
 // Sends queries whose parts are served at once, except at the silent server. Returns the number sent there.
-std::size_t serveOthers(Rig& rig, const std::string& silent, int queries) {
+std::size_t serveOthers(AggregatorRig& rig, const std::string& silent, int queries) {
   std::size_t atSilent = 0;
   for (int k = 0; k < queries; ++k) {
-    rig.query(1, 0, 4000 * ms, "n" + std::to_string(rig.queries));
+    rig.query(1, 0, 4000 * ms, "n" + std::to_string(rig.queryCount));
     rig.now += 5 * ms;  // one tick, so that the next turn sweeps all queries
     if (rig.sends.back().server == silent)
       ++atSilent;
@@ -432,20 +433,20 @@
 TEST(Health, ASilentServerLosesFirstSendsAndIsTriedByAPartThatCanBeSentAgain) {
   // Guards against capacity that is lost for good because an ejected server is never probed, as after hangs,
   // silence or flapping.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(30, 50 * ms);
+  rig.warmUp(30, 50 * ms);
   const std::string silent = serveOneQuery(rig);
   rig.query(1, 0, 4000 * ms, "quiet");
   const std::size_t firstUnanswered = rig.sends.size() - 1;
   ASSERT_EQ(rig.sends.back().server, silent);
-  rig.pass(60 * ms);
+  rig.advance(60 * ms);
   serveOthers(rig, silent, 6);  // the other servers serve parts that were sent later
-  rig.pass(200 * ms);
+  rig.advance(200 * ms);
   EXPECT_EQ(serveOthers(rig, silent, 20), 0u);
-  rig.step({ClientGone{"q" + std::to_string(rig.queries)}});
+  rig.step({QueryCancelled{"q" + std::to_string(rig.queryCount)}});
   for (std::size_t k = firstUnanswered; k < rig.sends.size(); ++k) rig.finish(k, Outcome::cancelled);
-  rig.pass(700 * ms);
+  rig.advance(700 * ms);
   const std::size_t before = rig.sends.size();
   for (int k = 0; k < 20 && rig.sends.back().server != silent; ++k)
     rig.query(1, 0, 4000 * ms, "t" + std::to_string(k));
@@ -453,7 +454,7 @@
   for (std::size_t k = before; k < rig.sends.size(); ++k) {
     if (rig.sends[k].server != silent) continue;
     probed = true;
-    rig.pass(10 * ms);
+    rig.advance(10 * ms);
     EXPECT_GT(std::ranges::count_if(rig.sends, [&](const Send& s) { return s.part == rig.sends[k].part; }),
               1);
     break;
@@ -463,28 +464,28 @@
 
 TEST(Health, AServerThatRefusesWhatComesAndServesNothingIsSilent) {
   // Guards against taking the busy responses of an overloaded or hung server for a sign of health.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(30, 50 * ms);
+  rig.warmUp(30, 50 * ms);
   const std::string hung = serveOneQuery(rig);
-  rig.pass(5 * ms);
+  rig.advance(5 * ms);
   rig.query(1, 0, 4000 * ms, "quiet");
   ASSERT_EQ(rig.sends.back().server, hung);
-  rig.pass(60 * ms);
+  rig.advance(60 * ms);
   rig.query(1, 0, 4000 * ms, "quiet");
   for (std::size_t k = rig.sends.size() - 1; k < rig.sends.size(); ++k)
     if (rig.sends[k].server == hung) rig.finish(k, Outcome::busy);
   serveOthers(rig, hung, 6);
-  rig.pass(100 * ms);
+  rig.advance(100 * ms);
   EXPECT_EQ(serveOthers(rig, hung, 20), 0u);
 }
 
 // Rejects the parts sent to the first `refusing` of ten servers as busy while the token bucket is empty.
 // Returns how many of them are sent again at once.
 std::size_t resentAfterRefusals(int refusing) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(10));
-  rig.warm(9, 50 * ms);  // less than one token
+  rig.warmUp(9, 50 * ms);  // less than one token
   std::set<std::string> busyServers;
   for (int k = 0; k < refusing; ++k) busyServers.insert("s" + std::to_string(k));
   std::size_t refused = 0, resent = 0;
@@ -514,16 +515,16 @@
 bool inZoneOne(const std::string& server) { return (server[1] - '0') % 2 == 1; }
 // Sends queries of four parts. Parts sent to zone 1, or all if `allLost`, are not answered; the others are at
 // once. Returns the number of first attempts sent to zone 1.
-std::size_t withZoneOneLost(Rig& rig, int queries, bool allLost = false) {
+std::size_t withZoneOneLost(AggregatorRig& rig, int queries, bool allLost = false) {
   std::size_t sentToZoneOne = 0;
   for (int k = 0; k < queries; ++k) {
     const std::size_t from = rig.sends.size();
-    rig.query(4, 0, 4000 * ms, "z" + std::to_string(rig.queries));
+    rig.query(4, 0, 4000 * ms, "z" + std::to_string(rig.queryCount));
     for (std::size_t n = from; n < from + 4 && n < rig.sends.size(); ++n) {
       sentToZoneOne += inZoneOne(rig.sends[n].server);
       if (!inZoneOne(rig.sends[n].server) && !allLost) rig.finish(n);
     }
-    rig.pass(70 * ms);
+    rig.advance(70 * ms);
   }
   return sentToZoneOne;
 }
@@ -531,17 +532,17 @@
 TEST(Paths, TheWayToAZoneIsLeftWhenMostThereIsLateThoughNoServerHasShownItTwice) {
   // Guards against judging each server of a lost zone, or behind a slow, cut or lossy link, on its own: that
   // costs late parts at each of them.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(twoZones());
-  rig.warm(40, 30 * ms);
+  rig.warmUp(40, 30 * ms);
   EXPECT_GT(withZoneOneLost(rig, 6), 2u);
   EXPECT_LE(withZoneOneLost(rig, 10), 3u);  // probes only
 }
 
 TEST(Paths, TheWayIsTakenAgainAfterATrialThatWasAnsweredInTime) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(twoZones());
-  rig.warm(40, 30 * ms);
+  rig.warmUp(40, 30 * ms);
   withZoneOneLost(rig, 8);
   std::size_t sentToZoneOne = 0;
   for (int k = 0; k < 200; ++k) {
@@ -550,17 +551,17 @@
     ASSERT_GT(rig.sends.size(), from) << k << ": " << rig.refusals.size() << " refused";
     for (std::size_t n = from; n < rig.sends.size(); ++n) rig.finish(n);
     if (k >= 150) sentToZoneOne += inZoneOne(rig.sends[from].server);
-    rig.pass(20 * ms);
+    rig.advance(20 * ms);
   }
   EXPECT_GT(sentToZoneOne, 5u);
 }
 
 TEST(Paths, WhatIsLateEverywhereDoubtsNoWay) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(twoZones());
-  rig.warm(40, 30 * ms);
+  rig.warmUp(40, 30 * ms);
   withZoneOneLost(rig, 6, true);
-  for (const Action& a : rig.last) EXPECT_FALSE(std::holds_alternative<Note>(a));
+  for (const Action& a : rig.lastActions) EXPECT_FALSE(std::holds_alternative<Note>(a));
   EXPECT_GT(withZoneOneLost(rig, 3, true), 3u);
 }
 
@@ -569,11 +570,11 @@
 TEST(Suspects, AResetAfterIdlenessDoubtsNoServerButTheSameOnABusyConnectionDoes) {
   // Guards against ejecting servers throughout the fleet when a middlebox silently drops idle connections.
   for (const Micros pause : {3000 * ms, 50 * ms}) {
-    Rig rig(plainSettings());
+    AggregatorRig rig(plainSettings());
     rig.servers(fleet(3));
-    rig.warm(30, 50 * ms);
+    rig.warmUp(30, 50 * ms);
     const std::string server = serveOneQuery(rig);
-    rig.pass(pause);
+    rig.advance(pause);
     rig.query(1, 0, 4000 * ms, "quiet");
     ASSERT_EQ(rig.sends.back().server, server);
     rig.finish(rig.sends.size() - 1, Outcome::reset);
@@ -585,15 +586,15 @@
 TEST(Health, WhileAllServersStandStillNoCopyIsSentForATime) {
   // Guards against hedges for answers that are only delayed, when the network or this machine has stalled.
   for (const bool stalled : {true, false}) {
-    Rig rig(plainSettings());
+    AggregatorRig rig(plainSettings());
     rig.servers(fleet(6));
     std::map<Micros, std::vector<std::size_t>> dueParts;  // most answers take 20 ms, one in ten 100 ms
     const auto step = [&](bool serve, bool ask, Micros latency) {
       if (ask) {
-        rig.query(1, 0, 4000 * ms, "w" + std::to_string(rig.queries));
+        rig.query(1, 0, 4000 * ms, "w" + std::to_string(rig.queryCount));
         dueParts[rig.now + latency].push_back(rig.sends.size() - 1);
       }
-      rig.pass(5 * ms);
+      rig.advance(5 * ms);
       for (; serve && !dueParts.empty() && dueParts.begin()->first <= rig.now;
            dueParts.erase(dueParts.begin()))
         for (const std::size_t k : dueParts.begin()->second) rig.finish(k);
@@ -615,7 +616,7 @@
     // The first answer ends the stall. The others follow it, so that their parts are not hedged.
     rig.finish(firstPending - 1);
     EXPECT_EQ(hedges() == 0, stalled);
-    rig.pass(700 * ms);  // stall time is deducted from the age of attempts only up to a bound
+    rig.advance(700 * ms);  // stall time is deducted from the age of attempts only up to a bound
     EXPECT_GT(hedges(), 0u);
   }
 }
@@ -623,15 +624,15 @@
 TEST(Ends, WithVeryManyOpenEachIsEndedAheadOfItsDeadline) {
   // Guards against sweeps that become so rare with many open queries that these miss their deadline, and the
   // host has to end them.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(6));
   std::map<std::string, Micros> deadlines;
   std::size_t checked = 0;
   for (int k = 0; k < 2600; ++k) {
     if (k < 1600) deadlines[rig.query(1, 0, 900 * ms, "k" + std::to_string(k))] = rig.now + 900 * ms;
     rig.now += 1 * ms;
-    std::vector<Event> events{ClientGone{"nobody"}};
-    if (rig.timer >= 0 && rig.now >= rig.timer) events.push_back(TimerFired{}), rig.timer = -1;
+    std::vector<Event> events{QueryCancelled{"nobody"}};
+    if (rig.timerAt >= 0 && rig.now >= rig.timerAt) events.push_back(TimerFired{}), rig.timerAt = -1;
     rig.step(events);
     for (; checked < rig.refusals.size(); ++checked) {
       // The query was admitted, not refused on arrival.
@@ -646,15 +647,15 @@
 TEST(Health, APartThatGetsLateAsAllStandsStillHasNoCopyUntilAnswersFlowAgain) {
   // Guards against a hedge that is sent during a stall: it waits unread at the server, and the delayed answer
   // of the first attempt arrives before it can help.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(6));
   std::map<Micros, std::vector<std::size_t>> dueParts;
   const auto step = [&](bool answering, Micros latency) {
     if (answering) {
-      rig.query(1, 0, 4000 * ms, "w" + std::to_string(rig.queries));
+      rig.query(1, 0, 4000 * ms, "w" + std::to_string(rig.queryCount));
       dueParts[rig.now + latency].push_back(rig.sends.size() - 1);
     }
-    rig.pass(5 * ms);
+    rig.advance(5 * ms);
     for (; answering && !dueParts.empty() && dueParts.begin()->first <= rig.now;
          dueParts.erase(dueParts.begin()))
       for (const std::size_t k : dueParts.begin()->second) rig.finish(k);
@@ -678,9 +679,9 @@
 TEST(Suspects, WhereServersOutliveTheirConnectionsTheFirstResetDoubtsNobody) {
   // Guards against ejecting most servers at once where connections break under requests although the servers
   // are healthy.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(4));
-  rig.warm(40, 50 * ms);
+  rig.warmUp(40, 50 * ms);
   std::set<std::string> resetServers;
   const auto resetOne = [&] {  // resets a connection in use, at a server without a reset so far
     for (int k = 0;; ++k) {
@@ -700,10 +701,10 @@
   for (int k = 0; k < 2; ++k) {  // two servers answer a probe soon after a reset
     const std::string server = resetOne();
     EXPECT_EQ(serveOthers(rig, server, 20), 0u);
-    rig.pass(600 * ms);
+    rig.advance(600 * ms);
     std::string target;
     for (int j = 0; j < 50 && target != server; ++j) {
-      rig.query(1, 0, 4000 * ms, "t" + std::to_string(rig.queries));
+      rig.query(1, 0, 4000 * ms, "t" + std::to_string(rig.queryCount));
       target = rig.sends.back().server;
       rig.finish(rig.sends.size() - 1);
     }
@@ -714,28 +715,28 @@
 }
 
 TEST(Suspects, WhatIsSilentOnAnIdleConnectionIsSentAgainAndSeveralCloseIdleOnesBeforeUse) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(4));
-  rig.warm(40, 50 * ms);
-  rig.pass(3000 * ms);
+  rig.warmUp(40, 50 * ms);
+  rig.advance(3000 * ms);
   std::set<std::string> silentServers;
   while (silentServers.size() < 2) {  // two servers do not respond after the pause
-    rig.query(1, 0, 4000 * ms, "i" + std::to_string(rig.queries));
+    rig.query(1, 0, 4000 * ms, "i" + std::to_string(rig.queryCount));
     silentServers.insert(rig.sends.back().server);
   }
   const std::size_t sendsBefore = rig.sends.size();
   EXPECT_TRUE(rig.closes.empty());
-  rig.pass(10 * ms);
+  rig.advance(10 * ms);
   for (int k = 0; rig.sends.back().server == *silentServers.begin() ||
                   rig.sends.back().server == *silentServers.rbegin();
        ++k)
     rig.query(1, 0, 4000 * ms, "other" + std::to_string(k));
   rig.finish(rig.sends.size() - 1);  // another server responds
-  rig.pass(150 * ms);
+  rig.advance(150 * ms);
   EXPECT_GT(rig.sends.size(), sendsBefore + 1);
   for (std::size_t k = sendsBefore; k < rig.sends.size(); ++k)
     if (!silentServers.contains(rig.sends[k].server)) rig.finish(k);
-  rig.pass(3000 * ms);
+  rig.advance(3000 * ms);
   const std::size_t closesBefore = rig.closes.size();
   rig.query(1, 0, 4000 * ms, "later");
   // Its connection has been idle for as long as those that failed.
@@ -743,9 +744,9 @@
 
   // Guards against closing open connections where connecting is slow: once a connect has failed after a long
   // time, idle connections are kept.
-  rig.pass(250 * ms);
+  rig.advance(250 * ms);
   rig.finish(rig.sends.size() - 1, Outcome::connectFailed);
-  rig.pass(3000 * ms);
+  rig.advance(3000 * ms);
   const std::size_t closesAfterSlowConnect = rig.closes.size();
   for (int k = 0; k < 6; ++k) rig.query(1, 0, 4000 * ms, "dear" + std::to_string(k));
   for (std::size_t k = closesAfterSlowConnect; k < rig.closes.size(); ++k)
@@ -756,15 +757,15 @@
   // Guards against hedges and retries that carry a poison query, one that crashes its servers, to every
   // holder of its shards. A server that hangs until its connections are reset looks the same.
   Settings set = plainSettings();
-  Rig rig(set);
+  AggregatorRig rig(set);
   rig.servers(fleet(9));
-  rig.warm(60, 50 * ms);
+  rig.warmUp(60, 50 * ms);
   const std::size_t before = rig.sends.size();
   const std::string id = rig.query(4);
   ASSERT_EQ(rig.sends.size(), before + 4);
   for (std::size_t k = before; k < before + 4; ++k) rig.finish(k, Outcome::reset);
   ASSERT_EQ(rig.sends.size(), before + 5);  // a single part
-  rig.pass(40 * ms);
+  rig.advance(40 * ms);
   EXPECT_EQ(rig.sends.size(), before + 5);
   rig.finish(before + 4, Outcome::reset);
   ASSERT_EQ(rig.refusals.size(), 1u);
@@ -773,9 +774,9 @@
 }
 
 TEST(Suspects, QueriesCaughtInALostZoneAreServedAfterAll) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(9));
-  rig.warm(60, 50 * ms);
+  rig.warmUp(60, 50 * ms);
   const std::size_t before = rig.sends.size();
   const std::string id = rig.query(4);
   for (std::size_t k = before; k < before + 3; ++k) rig.finish(k, Outcome::reset);
@@ -792,9 +793,9 @@
   // delayed by the time of one part.
   for (const bool common : {false, true})
     for (const bool repeated : {false, true}) {
-      Rig rig(plainSettings());
+      AggregatorRig rig(plainSettings());
       rig.servers(fleet(9));
-      rig.warm(60, 50 * ms);
+      rig.warmUp(60, 50 * ms);
       const std::size_t from = rig.sends.size();
       if (common) {
         rig.query(6);
@@ -812,16 +813,16 @@
   // The aim of a repeated query counts from the first try. A query with little time left counts as repeated
   // only if it is marked: its client may just be impatient.
   for (const bool repeated : {false, true}) {
-    Rig rig(plainSettings());  // the worth falls to 0.3 after the aim of 1 s
+    AggregatorRig rig(plainSettings());  // the worth falls to 0.3 after the aim of 1 s
     rig.servers(fleet(1));
-    rig.warm(40, 450 * ms);
+    rig.warmUp(40, 450 * ms);
     rig.step({QueryArrived{"r", 900, 0, 0, 1, 2000 * ms, "k", repeated}, PartArrived{"r.0", 900, 0, 1.0}});
     EXPECT_EQ(rig.refusals.size(), repeated ? 1u : 0u);  // 450 ms exceed the limit of late queries only
   }
 }
 
 TEST(Health, TheLastHolderIsNeverDropped) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(1));
   for (int k = 0; k < 5; ++k) {
     rig.query(1);
@@ -833,24 +834,24 @@
 }
 
 TEST(Health, ASlownessCommonToAllEjectsNobody) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(4));
-  rig.warm(40, 50 * ms);
-  rig.warm(100, 250 * ms);
+  rig.warmUp(40, 50 * ms);
+  rig.warmUp(100, 250 * ms);
   std::set<std::string> used;
   for (int k = 0; k < 40; ++k) {
     rig.query(1, 0, 4000 * ms, "all" + std::to_string(k));
     used.insert(rig.sends.back().server);
-    rig.pass(20 * ms);
+    rig.advance(20 * ms);
     rig.finish(rig.sends.size() - 1);
   }
   EXPECT_EQ(used.size(), 4u) << rig.refusals.size() << " refused";
 }
 
 TEST(Health, AServerThatRefusesFastIsLeftThoughItLooksIdle) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(60, 20 * ms);
+  rig.warmUp(60, 20 * ms);
   std::string busyServer;
   int laterSends = 0;
   for (int k = 0; k < 60; ++k) {
@@ -859,7 +860,7 @@
     if (busyServer.empty()) busyServer = rig.sends[at].server;
     if (k >= 20) laterSends += rig.sends[at].server == busyServer;
     if (rig.sends[at].server == busyServer) rig.finish(at, Outcome::busy);
-    rig.pass(20 * ms);
+    rig.advance(20 * ms);
     if (rig.sends.back().server != busyServer) rig.finish(rig.sends.size() - 1);
   }
   EXPECT_LE(laterSends, 2);
@@ -869,7 +870,7 @@
   // Guards against servers that fail part of their work quickly: failed parts would wait for tokens until
   // their aim.
   for (const Outcome outcome : {Outcome::error, Outcome::reset, Outcome::busy}) {
-    Rig rig(plainSettings());
+    AggregatorRig rig(plainSettings());
     rig.servers(fleet(3));
     rig.query(1);
     rig.finish(0, outcome);
@@ -881,27 +882,27 @@
   // Guards against home servers that are slow for this front node alone, and answer it only once in ten
   // seconds, so that it has few latencies of each. The cause may be the machine, its neighbours or the link.
   Settings set = plainSettings();
-  set.maySecondCopy = false;
-  Rig rig(set);
+  set.mayHedge = false;
+  AggregatorRig rig(set);
   rig.servers(fleet(3));
-  rig.warm(40, 50 * ms);
+  rig.warmUp(40, 50 * ms);
   const std::string slow = serveOneQuery(rig);
   for (int k = 0; k < 4; ++k) {
     rig.query(1, 0, 4000 * ms, "quiet");
     const std::size_t at = rig.sends.size() - 1;
     if (rig.sends[at].server != slow) break;
-    rig.pass(450 * ms);
+    rig.advance(450 * ms);
     rig.finish(at);
   }
   int sentToHome = 0;
   for (int k = 0; k < 10; ++k) {
     rig.query(1, 0, 4000 * ms, "quiet");
     sentToHome += rig.sends.back().server == slow;
-    rig.pass(50 * ms);
+    rig.advance(50 * ms);
     rig.finish(rig.sends.size() - 1);
   }
   EXPECT_LE(sentToHome, 1);
-  rig.pass(40000 * ms);
+  rig.advance(40000 * ms);
   rig.query(1, 0, 4000 * ms, "quiet");
   EXPECT_EQ(rig.sends.back().server, slow);
 }
@@ -909,9 +910,9 @@
 TEST(Admission, AClientWithLittleTimeIsNoSignOfPressure) {
   // Guards against refusing clients with little time left although the fleet is healthy. Queries that cannot
   // be answered in time are still refused.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(40, 100 * ms);
+  rig.warmUp(40, 100 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1, 0, 140 * ms, "hurried");
   EXPECT_EQ(rig.sends.size(), before + 1);
@@ -925,15 +926,15 @@
   Settings set = plainSettings();
   set.cells = 2;
   set.reach = 1;
-  Rig rig(set);
+  AggregatorRig rig(set);
   rig.servers({{"a", 0, 0, ServerState::serving, {}}, {"b", 0, 1, ServerState::serving, {}}});
   for (int k = 0; k < 60; ++k) {  // server a (shard 0) answers quickly, server b (shard 1) does not
     const std::size_t at = rig.sends.size();
     rig.query(k % 4 == 0 ? 2 : 1, 0, 4000 * ms, "j" + std::to_string(k));
-    rig.pass(50 * ms);
+    rig.advance(50 * ms);
     for (std::size_t n = at; n < rig.sends.size(); ++n)
       if (rig.sends[n].server == "a") rig.finish(n);
-    if (k % 4 == 0) rig.pass(900 * ms);
+    if (k % 4 == 0) rig.advance(900 * ms);
   }
   const std::size_t before = rig.sends.size();
   rig.query(2, 0, 4000 * ms, "both");
@@ -947,10 +948,10 @@
   // itself.
   Settings set = plainSettings();
   set.classes[0].lateShare = 0.0;
-  Rig rig(set);
+  AggregatorRig rig(set);
   rig.servers(fleet(2));
   rig.query(1);
-  rig.pass(1000 * ms);
+  rig.advance(1000 * ms);
   ASSERT_EQ(rig.refusals.size(), 1u);
   EXPECT_EQ(rig.refusals[0].retryAfter, set.maxRetryAfter);
 }
@@ -958,16 +959,16 @@
 TEST(Health, TheLastAttemptIsNotBurntAtOnceWhereEveryHolderFails) {
   // Guards against spending all attempts of a part within milliseconds on servers that fail part of their
   // work, reject it, or flap.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(30, 100 * ms);
+  rig.warmUp(30, 100 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1);
   rig.finish(before, Outcome::error);
   ASSERT_EQ(rig.sends.size(), before + 2);
   rig.finish(before + 1, Outcome::error);
   EXPECT_EQ(rig.sends.size(), before + 2);
-  rig.pass(100 * ms);
+  rig.advance(100 * ms);
   EXPECT_EQ(rig.sends.size(), before + 3);
 }
 
@@ -975,37 +976,37 @@
 
 TEST(Latency, ACopyGoesAtTheLastMomentAtWhichItCanBeInTime) {
   // Guards against a hedge delay that exceeds the time that a client with a short deadline has left.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(4, 400 * ms);  // raises the 95th percentile far above the median
-  rig.warm(40, 50 * ms);
+  rig.warmUp(4, 400 * ms);  // raises the 95th percentile far above the median
+  rig.warmUp(40, 50 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1, 0, 300 * ms, "hurried");
   ASSERT_EQ(rig.sends.size(), before + 1);
-  rig.pass(45 * ms);
+  rig.advance(45 * ms);
   EXPECT_EQ(rig.sends.size(), before + 1);
-  rig.pass(250 * ms);
+  rig.advance(250 * ms);
   EXPECT_EQ(rig.sends.size(), before + 2) << rig.refusals.size();
 }
 
 TEST(Suspects, ALateAnswerClearsTheConnectionThatLookedDead) {
   // Guards against closing open connections on a slow route, where each new one costs several round trips.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(40, 50 * ms);
-  rig.pass(3000 * ms);
+  rig.warmUp(40, 50 * ms);
+  rig.advance(3000 * ms);
   std::vector<std::size_t> unanswered;
   std::set<std::string> silentServers;
   while (silentServers.size() < 2) {
-    rig.query(1, 0, 4000 * ms, "i" + std::to_string(rig.queries));
+    rig.query(1, 0, 4000 * ms, "i" + std::to_string(rig.queryCount));
     unanswered.push_back(rig.sends.size() - 1);
     silentServers.insert(rig.sends.back().server);
   }
-  rig.pass(10 * ms);
+  rig.advance(10 * ms);
   while (silentServers.contains(rig.sends.back().server))
-    rig.query(1, 0, 4000 * ms, "o" + std::to_string(rig.queries));
+    rig.query(1, 0, 4000 * ms, "o" + std::to_string(rig.queryCount));
   rig.finish(rig.sends.size() - 1);
-  rig.pass(150 * ms);
+  rig.advance(150 * ms);
   for (const std::size_t k : unanswered) rig.finish(k);  // late, on the connections that were presumed lost
   for (std::size_t k = unanswered.back() + 1; k < rig.sends.size(); ++k) rig.finish(k);
   for (int k = 0; k < 9; ++k) {  // each connection presumed lost would be closed once
@@ -1013,7 +1014,7 @@
     rig.finish(rig.sends.size() - 1);
   }
   const std::size_t closesBefore = rig.closes.size();
-  rig.pass(3000 * ms);
+  rig.advance(3000 * ms);
   for (int k = 0; k < 9; ++k) rig.query(1, 0, 4000 * ms, "d" + std::to_string(k));
   EXPECT_EQ(rig.closes.size(), closesBefore);
 }
@@ -1021,11 +1022,11 @@
 TEST(Latency, TheDelayFollowsASlownessOfAllAtOnce) {
   // Guards against a storm of hedges when all parts become slower: after a few slow parts, 300 ms is no
   // longer late, although the long window still holds a thousand fast samples.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(1000, 20 * ms);
+  rig.warmUp(1000, 20 * ms);
   const std::size_t before = rig.sends.size();
-  rig.warm(30, 300 * ms);
+  rig.warmUp(30, 300 * ms);
   EXPECT_LE(rig.sends.size() - before, 30u + 8u);  // 14 without the short window
 }
 
@@ -1034,23 +1035,23 @@
 TEST(Discovery, AskedAtOnceAndAgainAfterAFailure) {
   Settings set = plainSettings();
   set.mustAskDiscovery = true;
-  Rig rig(set);
+  AggregatorRig rig(set);
   rig.servers(fleet(2), ListKind::restored);
-  EXPECT_EQ(rig.subscribes, 1);
-  rig.step({ListArrived{ListKind::unavailable, {}}});
-  EXPECT_EQ(rig.subscribes, 1);  // not at once
-  rig.pass(1000 * ms);
-  EXPECT_EQ(rig.subscribes, 2);
+  EXPECT_EQ(rig.subscribeCount, 1);
+  rig.step({ServerListArrived{ListKind::unavailable, {}}});
+  EXPECT_EQ(rig.subscribeCount, 1);  // not at once
+  rig.advance(1000 * ms);
+  EXPECT_EQ(rig.subscribeCount, 2);
   rig.servers(fleet(2));
-  rig.pass(20000 * ms);
-  EXPECT_EQ(rig.subscribes, 2);
+  rig.advance(20000 * ms);
+  EXPECT_EQ(rig.subscribeCount, 2);
 }
 
 TEST(Discovery, NotAskedWhereChangesArePushed) {
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(2), ListKind::restored);
-  rig.pass(20000 * ms);
-  EXPECT_EQ(rig.subscribes, 0);
+  rig.advance(20000 * ms);
+  EXPECT_EQ(rig.subscribeCount, 0);
 }
 
 // ---- Admission ----
@@ -1059,13 +1060,13 @@
   Settings set = plainSettings();
   set.tenants = {{1.0}, {1000.0}};
   set.overShareWorth = 0.05;
-  Rig rig(set);
+  AggregatorRig rig(set);
   rig.servers(fleet(1));
-  rig.warm(1, 200 * ms, 0);
+  rig.warmUp(1, 200 * ms, 0);
   for (int k = 0; k < 60; ++k) {
     rig.query(1, 0, 4000 * ms, "w" + std::to_string(k), 1);
     const std::size_t at = rig.sends.size() - 1;
-    rig.pass(390 * ms);
+    rig.advance(390 * ms);
     rig.finish(at);
   }
   ASSERT_TRUE(rig.refusals.empty());
@@ -1080,18 +1081,18 @@
 TEST(Admission, AQueryGivenUpGetsItsFinalAnswerAtOnce) {
   Settings set = plainSettings();
   set.classes[0].lateShare = 0.0;  // an answer after the aim is worth nothing
-  Rig rig(set);
+  AggregatorRig rig(set);
   rig.servers(fleet(2));
   rig.query(1);
-  rig.pass(1005 * ms);
-  EXPECT_EQ(rig.ended(), 1u);
+  rig.advance(1005 * ms);
+  EXPECT_EQ(rig.finalAnswers(), 1u);
 }
 
 TEST(Admission, AQueryExpectedTooLateIsRefusedWithAHint) {
   for (const bool slow : {false, true}) {
-    Rig rig(plainSettings());
+    AggregatorRig rig(plainSettings());
     rig.servers(fleet(1));
-    rig.warm(40, slow ? 900 * ms : 100 * ms);
+    rig.warmUp(40, slow ? 900 * ms : 100 * ms);
     rig.query(1, 0, 4000 * ms, "next");
     ASSERT_EQ(rig.refusals.empty(), !slow);
     if (slow) {
@@ -1102,12 +1103,12 @@
 
 TEST(Admission, NoCopyThatIsExpectedOnlyAfterTheAim) {
   // Guards against hedges that in a burst only add load to overloaded servers.
-  Rig rig(plainSettings());
+  AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
-  rig.warm(40, 500 * ms);
+  rig.warmUp(40, 500 * ms);
   const std::size_t before = rig.sends.size();
   rig.query(1);
-  rig.pass(990 * ms);  // late since 500 ms; a hedge would take 500 ms more
+  rig.advance(990 * ms);  // late since 500 ms; a hedge would take 500 ms more
   EXPECT_EQ(rig.sends.size(), before + 1);
 }
 
@@ -1115,11 +1116,11 @@
 
 TEST(Brain, TheSameEventsGiveTheSameActions) {
   const auto run = [] {
-    Rig rig(plainSettings());
+    AggregatorRig rig(plainSettings());
     rig.servers(fleet(4));
-    rig.warm(30, 30 * ms);
+    rig.warmUp(30, 30 * ms);
     for (int k = 0; k < 10; ++k) rig.query(3, 0, 2000 * ms, std::to_string(k));
-    rig.pass(2000 * ms);
+    rig.advance(2000 * ms);
     std::string all;
     for (const Send& s : rig.sends) all += s.part + ">" + s.server + " ";
     return all;
@@ -1134,9 +1135,9 @@
   for (const int instances : {300, 1}) {
     Settings set = plainSettings();
     set.instances = instances;
-    Rig rig(set);
+    AggregatorRig rig(set);
     rig.servers(fleet(12));
-    rig.warm(30, 20 * ms);
+    rig.warmUp(30, 20 * ms);
     std::size_t nextToEnd = rig.sends.size();
     // Returns how many queries of eight parts, and of one part, were refused on arrival.
     const auto run = [&](int queries, std::size_t refusedOneIn) {
@@ -1149,11 +1150,11 @@
       for (int k = 0; k < queries; ++k) {
         refusedOnArrival.first += refused(8);
         refusedOnArrival.second += refused(1);
-        rig.pass(20 * ms);
+        rig.advance(20 * ms);
         for (; nextToEnd < rig.sends.size(); ++nextToEnd)
           rig.finish(nextToEnd,
                      refusedOneIn > 0 && nextToEnd % refusedOneIn == 0 ? Outcome::busy : Outcome::done);
-        rig.pass(80 * ms);
+        rig.advance(80 * ms);
       }
       return refusedOnArrival;
     };
@@ -1165,7 +1166,7 @@
       EXPECT_EQ(large, 0);
     EXPECT_LE(3 * small, 2 * large) << "queries of one part are preferred";
     for (int k = 0; k < 40; ++k) {
-      rig.pass(100 * ms);
+      rig.advance(100 * ms);
       for (; nextToEnd < rig.sends.size(); ++nextToEnd) rig.finish(nextToEnd);
     }
     EXPECT_EQ(run(20, 0), std::pair(0, 0)) << instances;
--- a/tests/example_test.cpp
+++ b/tests/example_test.cpp
@@ -10,7 +10,7 @@
   cometdeal::Aggregator aggregator(settings, /*seed=*/1);
 
   using namespace cometdeal;
-  const std::vector<Event> events = {ListArrived{ListKind::complete, {{.id = "server-a"}}},
+  const std::vector<Event> events = {ServerListArrived{ListKind::complete, {{.id = "server-a"}}},
                                      QueryArrived{.id = "q", .group = 1, .parts = 1, .timeLeft = 4'000'000},
                                      PartArrived{.id = "q.0", .group = 1, .shard = 0, .weight = 1.0}};
   int sent = 0;
--- a/tests/grpc_interop.cpp
+++ b/tests/grpc_interop.cpp
@@ -194,7 +194,7 @@
   cls.deadline = 10'000'000;
   settings.classes = {cls};
   settings.tick = 5'000;
-  settings.mayCancel = settings.maySecondCopy = true;
+  settings.mayCancel = settings.mayHedge = true;
   settings.maxAttempts = 3;
   net::HostSettings host;
   host.zones = {"a"};
@@ -207,19 +207,19 @@
   config.listen.port = 0;
   net::ChannelLimits limits;
   limits.connectTimeout = host.connectTimeout;
-  auto machine = std::make_unique<net::Channels>(limits, &counters);
-  const net::Channels& channels = *machine;
-  net::LeafSockets leafSide(loop, std::move(machine));
+  auto protocol = std::make_unique<net::Channels>(limits, &counters);
+  const net::Channels& channels = *protocol;
+  net::LeafSockets leafSide(loop, std::move(protocol));
   net::Mixer mixer(loop, counters, leafSide, settings, host, 7);
   net::LeafList list;
-  list.whole = true;
+  list.fullSnapshot = true;
   for (std::size_t k = 0; k < ports.size(); ++k) {
     net::LeafEntry entry;
     entry.name = "s" + std::to_string(k);
     entry.address = {"127.0.0.1", std::uint16_t(ports[k])};
     list.entries.push_back(entry);
   }
-  mixer.list(list, cometdeal::ListKind::complete);
+  mixer.updateLeafList(list, cometdeal::ListKind::complete);
   net::GrpcServer server(loop, counters, mixer, config, host.classKeyed, host.shards);
   server.listen();
   const std::string address = "127.0.0.1:" + std::to_string(server.port());
@@ -339,7 +339,8 @@
     bool left = true;
     std::atomic<bool> checked = false;
     boost::asio::post(loop.strand, [&] {
-      left = server.openCalls() > 0 || mixer.open() > 0 || channels.streams() > 0 || channels.attempts() > 0;
+      left = server.openCalls() > 0 || mixer.openQueries() > 0 || channels.streams() > 0 ||
+             channels.attempts() > 0;
       checked = true;
     });
     while (!checked) std::this_thread::sleep_for(1ms);
@@ -350,6 +351,6 @@
   loop.io.stop();
   mixerThread.join();
   for (const auto& one : servers) one->Shutdown(std::chrono::system_clock::now() + 100ms);
-  assert(counters.of(net::Count::defects) == 0);
+  assert(counters.value(net::Counter::defects) == 0);
   return 0;
 }
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -14,8 +14,8 @@
 
 #include "config/yaml.hpp"
 #include "front/grpc/server.hpp"
-#include "grpc/routes.hpp"
 #include "grpc/protocol.hpp"
+#include "grpc/routes.hpp"
 #include "http2/session.hpp"
 #include "leaf/grpc/channels.hpp"
 #include "leaf/sockets.hpp"
@@ -24,10 +24,10 @@
 
 using namespace cometdeal;
 using namespace cometdeal::net;
+using standin::frameMessage;
 using standin::GrpcClient;
 using standin::GrpcLeaf;
-using standin::message;
-using Held = GrpcClient::Held;
+using ResultPtr = GrpcClient::ResultPtr;
 
 namespace {
 
@@ -48,7 +48,7 @@
   unsafe.effect = Effect::unsafe;
   out.classes = {safe, keyed, unsafe};
   out.tick = 5 * ms;
-  out.mayCancel = out.maySecondCopy = true;
+  out.mayCancel = out.mayHedge = true;
   out.maxAttempts = 3;
   out.maxRetryAfter = 500 * ms;
   return out;
@@ -60,7 +60,7 @@
   out.classKeyed = {false, true, false};
   out.shards = 4;
   out.connectTimeout = 500 * ms;
-  out.mayRetryAfter = true;
+  out.sendRetryAfter = true;
   return out;
 }
 const char* kRoutes = R"(
@@ -98,14 +98,14 @@
     config.listen.port = 0;
     ChannelLimits limits;
     limits.connectTimeout = host.connectTimeout;
-    limits.messageMost = config.messageMost;
-    limits.metadataMost = config.metadataMost;
-    limits.streamWindow = config.streamWindow;
+    limits.maxMessageBytes = config.maxMessageBytes;
+    limits.maxMetadataBytes = config.maxMetadataBytes;
+    limits.streamWindowBytes = config.streamWindowBytes;
     limits.keepalive = 300 * ms;
     limits.pingTimeout = 300 * ms;
-    auto machine = std::make_unique<Channels>(limits, &counters);
-    channels = machine.get();
-    leafSide = std::make_unique<LeafSockets>(loop, std::move(machine));
+    auto protocol = std::make_unique<Channels>(limits, &counters);
+    channels = protocol.get();
+    leafSide = std::make_unique<LeafSockets>(loop, std::move(protocol));
     mixer = std::make_unique<Mixer>(loop, counters, *leafSide, set, host, 7);
     for (int k = 0; k < leafCount; ++k) leaves.push_back(std::make_unique<GrpcLeaf>(loop, leafLimits));
     sendFullList();
@@ -121,15 +121,15 @@
   }
   void sendFullList() {
     LeafList list;
-    list.whole = true;
+    list.fullSnapshot = true;
     for (int k = 0; k < int(leaves.size()); ++k) list.entries.push_back(entry(k));
-    mixer->list(list, ListKind::complete);
+    mixer->updateLeafList(list, ListKind::complete);
   }
   // Reports a change of one leaf server's state to the mixer.
   void setState(int k, ServerState state) {
     LeafList list;
     list.entries.push_back(entry(k, state));
-    mixer->list(list, ListKind::changes);
+    mixer->updateLeafList(list, ListKind::changes);
   }
   // Runs the loop until the condition holds. Returns false if it does not within maxWait.
   bool waitUntil(const std::function<bool()>& condition, Micros maxWait = kMaxWait) {
@@ -144,33 +144,33 @@
   void runFor(Micros span) {
     waitUntil([] { return false; }, span);
   }
-  bool waitForEnd(const Held& r) {
-    return waitUntil([&] { return r->over; });
+  bool waitForEnd(const ResultPtr& r) {
+    return waitUntil([&] { return r->ended; });
   }
   // How many times the leaf servers have run the call with this id, in total.
   int timesRun(const std::string& call) const {
     int out = 0;
-    for (const auto& leaf : leaves) out += leaf->ran(call);
+    for (const auto& leaf : leaves) out += leaf->timesRun(call);
     return out;
   }
   std::size_t leafStreams() const {
     std::size_t out = 0;
-    for (const auto& leaf : leaves) out += leaf->streams();
+    for (const auto& leaf : leaves) out += leaf->streamCount();
     return out;
   }
   // Checks that no call, attempt, stream or buffered byte is left.
   void checkNothingLeft() {
     const bool good = waitUntil([&] {
-      return server->openCalls() == 0 && mixer->open() == 0 && channels->attempts() == 0 &&
+      return server->openCalls() == 0 && mixer->openQueries() == 0 && channels->attempts() == 0 &&
              channels->streams() == 0 && leafStreams() == 0 && server->bufferedBytes() == 0;
     });
     if (!good)
       std::fprintf(stderr,
                    "still open: calls %zu open %zu attempts %zu streams %zu leaf streams %zu bytes %zu\n",
-                   server->openCalls(), mixer->open(), channels->attempts(), channels->streams(),
+                   server->openCalls(), mixer->openQueries(), channels->attempts(), channels->streams(),
                    leafStreams(), server->bufferedBytes());
     assert(good);
-    assert(counters.of(Count::defects) == 0);
+    assert(counters.value(Counter::defects) == 0);
   }
 };
 
@@ -183,7 +183,7 @@
   do {                                                                                            \
     if (!(condition))                                                                             \
       std::fprintf(stderr, "status %d text '%s' http %d messages %zu outcomes %d\n", (r)->status, \
-                   (r)->text.c_str(), (r)->http, (r)->messages.size(), (r)->outcomes);            \
+                   (r)->message.c_str(), (r)->httpStatus, (r)->messages.size(), (r)->outcomes);   \
     assert(condition);                                                                            \
   } while (false)
 
@@ -205,13 +205,13 @@
          !parseStatus("x") && !parseStatus("-1") && !parseStatus(""));
   for (int k = 0; k <= 16; ++k) assert(statusFromName(name(Status(k))) == Status(k));
   MessageFrameParser reader(10, false);
-  const std::string two = message("abc") + message("");
+  const std::string two = frameMessage("abc") + frameMessage("");
   for (const char c : two) assert(reader.feed({&c, 1}) == MessageFrameParser::State::good);
   assert(reader.messages() == 2 && reader.atMessageBoundary());
-  assert(reader.feed(message("12345678901")) == MessageFrameParser::State::tooLong);
+  assert(reader.feed(frameMessage("12345678901")) == MessageFrameParser::State::tooLong);
   assert(MessageFrameParser(10, false).feed("\2") == MessageFrameParser::State::invalidFlag);
   assert(MessageFrameParser(10, false).feed("\1") == MessageFrameParser::State::unexpectedCompression);
-  assert(MessageFrameParser(10, true).feed(message("x", true)) == MessageFrameParser::State::good);
+  assert(MessageFrameParser(10, true).feed(frameMessage("x", true)) == MessageFrameParser::State::good);
   // Only these ends of an attempt prove that the call has not run.
   assert(resultOfReset(http2::Code::refusedStream).outcome == Outcome::busy &&
          resultOfHttpStatus(503).outcome == Outcome::busy);
@@ -228,7 +228,7 @@
   const auto problem = [&](const std::string& text) -> std::string {
     try {
       grpc::readConfig(text, "f.yaml", classes, set.classes);
-    } catch (const BadConfig& bad) {
+    } catch (const ConfigError& bad) {
       return bad.what();
     }
     return "";
@@ -275,25 +275,26 @@
 void testUnary() {
   MixerRig rig(3);
   GrpcClient client(rig.loop, rig.server->port());
-  Held r = client.call(
+  ResultPtr r = client.call(
       "/t.S/Unary",
       {{"call", "u"}, {"script", "read message=5 status=0"}, {"x-own", "kept"}, {"grpc-timeout", "2S"}},
-      message("hello"));
+      frameMessage("hello"));
   assert(rig.waitForEnd(r));
-  CHECK_CALL(r->status == 0 && r->messages.size() == 1 && r->messages[0] == "mmmmm" && r->http == 200, r);
-  assert(r->trailer("leaf-trailer") == "t" && http2::find(r->head, "leaf-port"));
+  CHECK_CALL(r->status == 0 && r->messages.size() == 1 && r->messages[0] == "mmmmm" && r->httpStatus == 200,
+             r);
+  assert(r->trailer("leaf-trailer") == "t" && http2::find(r->headers, "leaf-port"));
   assert(rig.timesRun("u") == 1);
   for (const auto& leaf : rig.leaves)
-    for (const auto& seen : leaf->seen()) {
+    for (const auto& seen : leaf->recordedCalls()) {
       assert(seen.messages.size() == 1 && seen.messages[0] == "hello" && seen.path == "/t.S/Unary");
       assert(http2::find(seen.fields, "x-own") && !http2::find(seen.fields, "grpc-previous-rpc-attempts"));
       const auto left = grpc::parseTimeout(seen.timeout);
       assert(left && *left <= 2'000 * ms && *left > 1'000 * ms);
     }
   // Without a grpc-timeout the route's deadline applies.
-  r = client.call("/t.S/Short", {{"call", "s"}, {"script", "stall"}}, message("x"));
+  r = client.call("/t.S/Short", {{"call", "s"}, {"script", "stall"}}, frameMessage("x"));
   assert(rig.waitForEnd(r));
-  CHECK_CALL(r->status == 4 && r->overAt - r->beganAt < 300 * ms + kTimingTolerance, r);
+  CHECK_CALL(r->status == 4 && r->endedAt - r->beganAt < 300 * ms + kTimingTolerance, r);
   rig.checkNothingLeft();
 }
 
@@ -305,14 +306,15 @@
   for (int status = 0; status <= 16; ++status)
     for (const char* form : {"read ", "read message=3 "}) {
       const std::string id = std::string(form) + std::to_string(status);
-      Held r =
-          client.call("/t.S/Unary", script(id, form + ("status=" + std::to_string(status))), message("x"));
+      ResultPtr r = client.call("/t.S/Unary", script(id, form + ("status=" + std::to_string(status))),
+                                frameMessage("x"));
       assert(rig.waitForEnd(r));
       CHECK_CALL(r->status == status && r->outcomes == 1, r);
       const bool passes = grpc::resultOfStatus(grpc::Status(status)).outcome == Outcome::done;
       assert(passes ? rig.timesRun(id) == 1 : rig.timesRun(id) >= 2 && rig.timesRun(id) <= 3);
       const std::string once = "once " + id;
-      r = client.call("/t.S/Unsafe", script(once, form + ("status=" + std::to_string(status))), message("x"));
+      r = client.call("/t.S/Unsafe", script(once, form + ("status=" + std::to_string(status))),
+                      frameMessage("x"));
       assert(rig.waitForEnd(r));
       CHECK_CALL(r->status == status && rig.timesRun(once) == 1, r);
     }
@@ -327,10 +329,10 @@
   for (const char* first : {"refuse", "goaway", "http=503"})
     for (const char* path : {"/t.S/Unary", "/t.S/Unsafe", "/t.S/Once"}) {
       const std::string id = std::string(first) + path;
-      Held r = client.call(
+      ResultPtr r = client.call(
           path,
           {{"call", id}, {"script-0", first}, {"script", "read message=1 status=0"}, {"grpc-timeout", "4S"}},
-          message("x"));
+          frameMessage("x"));
       assert(rig.waitForEnd(r));
       CHECK_CALL(r->status == 0 && r->messages.size() == 1, r);
     }
@@ -340,14 +342,14 @@
     const std::string id = first;
     const http2::Fields fields{
         {"call", id}, {"script-0", first}, {"script", "read message=1 status=0"}, {"grpc-timeout", "4S"}};
-    Held r = client.call("/t.S/Unary", fields, message("x"));
+    ResultPtr r = client.call("/t.S/Unary", fields, frameMessage("x"));
     assert(rig.waitForEnd(r));
     CHECK_CALL(r->status == 0 && r->messages.size() == 1 && rig.timesRun(id) == 2, r);
     for (const char* path : {"/t.S/Unsafe", "/t.S/Once"}) {
       const std::string once = id + path;
       http2::Fields other = fields;
       other[0].second = once;
-      r = client.call(path, other, message("x"));
+      r = client.call(path, other, frameMessage("x"));
       assert(rig.waitForEnd(r));
       CHECK_CALL(r->status > 0 && rig.timesRun(once) == 1 && r->outcomes == 1, r);
       assert(r->trailer("cometdeal-may-have-run") == "1" && r->trailer("grpc-retry-pushback-ms") == "-1");
@@ -359,12 +361,12 @@
 void testKeyed() {
   MixerRig rig(3);
   GrpcClient client(rig.loop, rig.server->port());
-  Held r = client.call("/t.S/Keyed", script("no key", "read status=0"), message("x"));
+  ResultPtr r = client.call("/t.S/Keyed", script("no key", "read status=0"), frameMessage("x"));
   assert(rig.waitForEnd(r));
-  CHECK_CALL(r->status == 3 && r->text.find("idem") != std::string::npos, r);
+  CHECK_CALL(r->status == 3 && r->message.find("idem") != std::string::npos, r);
   http2::Fields fields = script("k", "read reset=2");
   fields.emplace_back("idem", "abc");
-  r = client.call("/t.S/Keyed", fields, message("x"));
+  r = client.call("/t.S/Keyed", fields, frameMessage("x"));
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 13 && rig.timesRun("k") >= 2 && rig.timesRun("k") <= 3, r);
   rig.checkNothingLeft();
@@ -375,26 +377,27 @@
   GrpcClient client(rig.loop, rig.server->port());
   for (const char* steps : {"stall", "headers stall", "read message=2 stall"})
     for (const char* path : {"/t.S/Unary", "/t.S/Unsafe", "/t.S/Down"}) {
-      Held r = client.call(path, script(std::string(steps) + path, steps, "400m"), message("x"));
+      ResultPtr r = client.call(path, script(std::string(steps) + path, steps, "400m"), frameMessage("x"));
       assert(rig.waitForEnd(r));
       CHECK_CALL(r->status == 4 && r->outcomes == 1 && !r->reset &&
-                     r->overAt - r->beganAt <= 400 * ms + kTimingTolerance,
+                     r->endedAt - r->beganAt <= 400 * ms + kTimingTolerance,
                  r);
     }
   // A deadline that has passed before the call starts.
-  Held r = client.call("/t.S/Unary", script("short", "read status=0", "1m"), message("x"));
+  ResultPtr r = client.call("/t.S/Unary", script("short", "read status=0", "1m"), frameMessage("x"));
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 4, r);
   // A request that never ends.
-  r = client.call("/t.S/Unary", script("endless", "read status=0", "200m"), message("x"), false);
+  r = client.call("/t.S/Unary", script("endless", "read status=0", "200m"), frameMessage("x"), false);
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 4 && r->trailer("cometdeal-may-have-run") == "0" && rig.timesRun("endless") == 0,
              r);
   for (const char* bad : {"5", "S", "1x", "123456789S"}) {
-    r = client.call("/t.S/Unary", script("bad", "read status=0", bad), message("x"));
+    r = client.call("/t.S/Unary", script("bad", "read status=0", bad), frameMessage("x"));
     assert(rig.waitForEnd(r));
     CHECK_CALL(
-        r->status == 3 && r->text.find("grpc-timeout") != std::string::npos && rig.timesRun("bad") == 0, r);
+        r->status == 3 && r->message.find("grpc-timeout") != std::string::npos && rig.timesRun("bad") == 0,
+        r);
   }
   rig.checkNothingLeft();
 }
@@ -402,19 +405,19 @@
 void testStreams() {
   MixerRig rig(2);
   GrpcClient client(rig.loop, rig.server->port());
-  Held r =
-      client.call("/t.S/Down", script("d", "read message=1 message=2 message=70000 status=0"), message("x"));
+  ResultPtr r = client.call("/t.S/Down", script("d", "read message=1 message=2 message=70000 status=0"),
+                            frameMessage("x"));
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 3 && r->messages[2].size() == 70000, r);
   // An error in the trailers after data is passed on with its status and is not retried.
-  r = client.call("/t.S/Down", script("e", "read message=1 message=2 status=14"), message("x"));
+  r = client.call("/t.S/Down", script("e", "read message=1 message=2 status=14"), frameMessage("x"));
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 14 && r->messages.size() == 2 && rig.timesRun("e") == 1 &&
                  r->trailer("leaf-trailer") == "t",
              r);
   for (const char* broken : {"read message=1 wait=20 reset=2", "read message=1 wait=20 cut",
                              "read message=1 wait=20 cut-reset", "read message=1 nostatus"}) {
-    r = client.call("/t.S/Down", script(broken, broken), message("x"));
+    r = client.call("/t.S/Down", script(broken, broken), frameMessage("x"));
     assert(rig.waitForEnd(r));
     CHECK_CALL(r->status > 0 && r->outcomes == 1 && rig.timesRun(broken) == 1, r);
   }
@@ -424,30 +427,30 @@
                    {"script-0", "read reset=2"},
                    {"script", "read message=1 status=0"},
                    {"grpc-timeout", "4S"}},
-                  message("x"));
+                  frameMessage("x"));
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 1 && rig.timesRun("f") == 2, r);
   // Client streaming, with a message split over several writes.
-  r = client.call("/t.S/Up", script("c", "read message=4 status=0"), message("a"), false);
+  r = client.call("/t.S/Up", script("c", "read message=4 status=0"), frameMessage("a"), false);
   rig.runFor(20 * ms);
-  client.say(r, message("bb") + message("ccc").substr(0, 4));
+  client.sendBody(r, frameMessage("bb") + frameMessage("ccc").substr(0, 4));
   rig.runFor(20 * ms);
-  client.say(r, message("ccc").substr(4));
-  client.end(r);
+  client.sendBody(r, frameMessage("ccc").substr(4));
+  client.finishRequest(r);
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 1, r);
   // The server ends the call before the client has finished its request.
-  r = client.call("/t.S/Up", script("early", "message=4 status=0"), message("a"), false);
+  r = client.call("/t.S/Up", script("early", "message=4 status=0"), frameMessage("a"), false);
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 1, r);
   // Bidirectional streaming.
   r = client.call("/t.S/Both", script("b", "echo status=0"), "", false);
   for (int k = 1; k <= 5; ++k) {
-    client.say(r, message(std::string(std::size_t(k), 'p')));
+    client.sendBody(r, frameMessage(std::string(std::size_t(k), 'p')));
     assert(rig.waitUntil([&] { return int(r->messages.size()) == k; }));
-    assert(r->messages.back().size() == std::size_t(k) && !r->over);
+    assert(r->messages.back().size() == std::size_t(k) && !r->ended);
   }
-  client.end(r);
+  client.finishRequest(r);
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 5, r);
   rig.checkNothingLeft();
@@ -460,42 +463,42 @@
   for (const char* steps : {"stall", "headers stall", "message=1 stall", "read stall"})
     for (const char* path : {"/t.S/Unary", "/t.S/Down", "/t.S/Both", "/t.S/Up"}) {
       const std::string id = std::string(steps) + path;
-      Held r = client.call(path, script(id, steps), message("x"), std::string(path) != "/t.S/Both");
+      ResultPtr r = client.call(path, script(id, steps), frameMessage("x"), std::string(path) != "/t.S/Both");
       assert(rig.waitUntil([&] { return rig.timesRun(id) == 1; }));
       client.cancel(r);
       assert(rig.waitUntil([&] { return rig.leafStreams() == 0; }));
     }
   // So does the loss of the client's connection.
   auto other = std::make_unique<GrpcClient>(rig.loop, rig.server->port());
-  other->call("/t.S/Down", script("gone", "message=1 stall"), message("x"));
+  other->call("/t.S/Down", script("gone", "message=1 stall"), frameMessage("x"));
   assert(rig.waitUntil([&] { return rig.timesRun("gone") == 1; }));
   other.reset();
   rig.checkNothingLeft();
-  assert(rig.counters.of(Count::clientsGone) >= 17);
+  assert(rig.counters.value(Counter::clientsGone) >= 17);
 }
 
 // A client that does not read: the mixer buffers a bounded amount for it, and other clients are not delayed.
 void testBackpressure() {
   MixerRig rig(1);
   GrpcClient slow(rig.loop, rig.server->port()), other(rig.loop, rig.server->port());
-  slow.hold();
+  slow.holdWindow();
   std::string many = "read";
   for (int k = 0; k < 60; ++k) many += " message=50000";
-  Held r = slow.call("/t.S/Down", script("slow", many + " status=0"), message("x"));
+  ResultPtr r = slow.call("/t.S/Down", script("slow", many + " status=0"), frameMessage("x"));
   assert(rig.waitUntil([&] { return r->bytes > 60'000; }));
   rig.runFor(100 * ms);
   const std::size_t buffered = rig.server->bufferedBytes();
   if (buffered > 3 * 65536) std::fprintf(stderr, "buffered %zu\n", buffered);
-  assert(buffered <= 3 * 65536 && !r->over);
-  Held quick = other.call("/t.S/Unary", script("quick", "read message=1 status=0"), message("x"));
+  assert(buffered <= 3 * 65536 && !r->ended);
+  ResultPtr quick = other.call("/t.S/Unary", script("quick", "read message=1 status=0"), frameMessage("x"));
   assert(rig.waitForEnd(quick));
   CHECK_CALL(quick->status == 0, quick);
-  slow.release();
+  slow.releaseWindow();
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 60, r);
   // The reverse: a leaf server that does not read stops its client from sending more.
-  Held up = other.call("/t.S/Both", script("up", "deaf stall"), "", false);
-  for (int k = 0; k < 40; ++k) other.say(up, message(std::string(50'000, 'u')));
+  ResultPtr up = other.call("/t.S/Both", script("up", "deaf stall"), "", false);
+  for (int k = 0; k < 40; ++k) other.sendBody(up, frameMessage(std::string(50'000, 'u')));
   rig.runFor(100 * ms);
   assert(rig.server->bufferedBytes() < 50'000 + 65536 + 50'000 &&
          other.peer().session.buffered(up->stream) > 1'000'000);
@@ -506,29 +509,30 @@
 void testDrains() {
   MixerRig rig(2);
   GrpcClient client(rig.loop, rig.server->port());
-  std::vector<Held> open;
+  std::vector<ResultPtr> open;
   for (int k = 0; k < 8; ++k)
     open.push_back(client.call(
         "/t.S/Both",
         {{"call", "o" + std::to_string(k)}, {"script", "echo status=0"}, {"about", std::to_string(k)}},
-        message("x"), false));
+        frameMessage("x"), false));
   assert(rig.waitUntil(
-      [&] { return std::ranges::all_of(open, [](const Held& r) { return r->messages.size() == 1; }); }));
+      [&] { return std::ranges::all_of(open, [](const ResultPtr& r) { return r->messages.size() == 1; }); }));
   rig.setState(0, ServerState::draining);
-  const std::uint64_t before = rig.leaves[0]->begun;
+  const std::uint64_t before = rig.leaves[0]->callsReceived;
   for (int k = 0; k < 30; ++k) {
-    Held r = client.call("/t.S/Unary", script("n" + std::to_string(k), "read status=0"), message("x"));
+    ResultPtr r =
+        client.call("/t.S/Unary", script("n" + std::to_string(k), "read status=0"), frameMessage("x"));
     assert(rig.waitForEnd(r));
     CHECK_CALL(r->status == 0, r);
   }
-  assert(rig.leaves[0]->begun == before);  // no new streams
-  for (const Held& r : open) {             // open streams finish
-    client.say(r, message("y"));
-    client.end(r);
+  assert(rig.leaves[0]->callsReceived == before);  // no new streams
+  for (const ResultPtr& r : open) {                // open streams finish
+    client.sendBody(r, frameMessage("y"));
+    client.finishRequest(r);
     assert(rig.waitForEnd(r));
     CHECK_CALL(r->status == 0 && r->messages.size() == 2, r);
   }
-  assert(rig.waitUntil([&] { return rig.leaves[0]->connections() == 0; }));
+  assert(rig.waitUntil([&] { return rig.leaves[0]->connectionCount() == 0; }));
   rig.checkNothingLeft();
 }
 
@@ -537,15 +541,15 @@
 void testStop() {
   MixerRig rig(1);
   GrpcClient client(rig.loop, rig.server->port());
-  Held r = client.call("/t.S/Both", script("b", "echo status=0"), message("x"), false);
+  ResultPtr r = client.call("/t.S/Both", script("b", "echo status=0"), frameMessage("x"), false);
   assert(rig.waitUntil([&] { return r->messages.size() == 1; }));
   rig.server->drain(rig.loop.now() + 3'000 * ms);
-  assert(rig.waitUntil([&] { return client.goaways == 1; }));
-  assert(client.goawayLast == INT32_MAX);
-  assert(rig.waitUntil([&] { return client.goaways == 2; }));
-  assert(client.goawayLast == r->stream);
-  client.say(r, message("y"));
-  client.end(r);
+  assert(rig.waitUntil([&] { return client.goawayCount == 1; }));
+  assert(client.goawayLastStream == INT32_MAX);
+  assert(rig.waitUntil([&] { return client.goawayCount == 2; }));
+  assert(client.goawayLastStream == r->stream);
+  client.sendBody(r, frameMessage("y"));
+  client.finishRequest(r);
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 2, r);
   assert(rig.waitUntil([&] { return client.closed(); }));
@@ -557,22 +561,22 @@
   GrpcClient good(rig.loop, rig.server->port());
   const auto answered = [&](GrpcClient& client, const std::string& path, http2::Fields fields,
                             const std::string& body, int status, const char* text) {
-    Held r = client.call(path, std::move(fields), body);
+    ResultPtr r = client.call(path, std::move(fields), body);
     assert(rig.waitForEnd(r));
-    CHECK_CALL(r->status == status && r->text.find(text) != std::string::npos && r->outcomes == 1, r);
+    CHECK_CALL(r->status == status && r->message.find(text) != std::string::npos && r->outcomes == 1, r);
   };
-  answered(good, "/t.S/None", {}, message("x"), 12, "unknown method");
-  answered(good, "/nothing", {}, message("x"), 12, "unknown method");
-  answered(good, "/t.S/Unary", {}, message(std::string(100'001, 'x')), 8, "a message over 100000 bytes");
+  answered(good, "/t.S/None", {}, frameMessage("x"), 12, "unknown method");
+  answered(good, "/nothing", {}, frameMessage("x"), 12, "unknown method");
+  answered(good, "/t.S/Unary", {}, frameMessage(std::string(100'001, 'x')), 8, "a message over 100000 bytes");
   answered(good, "/t.S/Unary", {}, "\7xxxxx", 13, "neither 0 nor 1");
-  answered(good, "/t.S/Unary", {}, message("x", true), 13, "without grpc-encoding");
-  answered(good, "/t.S/Unary", {}, message("xyz").substr(0, 6), 13, "within a message");
-  answered(good, "/t.S/Unary", {{"big", std::string(5000, 'x')}}, message("x"), 8,
+  answered(good, "/t.S/Unary", {}, frameMessage("x", true), 13, "without grpc-encoding");
+  answered(good, "/t.S/Unary", {}, frameMessage("xyz").substr(0, 6), 13, "within a message");
+  answered(good, "/t.S/Unary", {{"big", std::string(5000, 'x')}}, frameMessage("x"), 8,
            "metadata over 4096 bytes");
-  answered(good, "/t.S/Sharded", {{"shard", "4"}}, message("x"), 3, "a shard from 0 to 3");
-  answered(good, "/t.S/Sharded", {}, message("x"), 3, "a shard from 0 to 3");
+  answered(good, "/t.S/Sharded", {{"shard", "4"}}, frameMessage("x"), 3, "a shard from 0 to 3");
+  answered(good, "/t.S/Sharded", {}, frameMessage("x"), 3, "a shard from 0 to 3");
   std::string many;
-  for (int k = 0; k < 3; ++k) many += message(std::string(60'000, 'x'));
+  for (int k = 0; k < 3; ++k) many += frameMessage(std::string(60'000, 'x'));
   answered(good, "/t.S/Unary", {}, many, 12, "more than one message");
   // Requests that are not gRPC.
   const auto http = [&](http2::Fields fields, int status) {
@@ -610,11 +614,11 @@
       act(bad);
       if (k % 100 == 99) rig.runFor(1 * ms);
     }
-    assert(rig.waitUntil([&] { return bad.closed() || bad.goaways > 0; }));
+    assert(rig.waitUntil([&] { return bad.closed() || bad.goawayCount > 0; }));
     assert(bad.goawayCode == http2::Code::enhanceYourCalm || bad.closed());
   };
   flood([&](GrpcClient& bad) {  // rapid reset
-    const Held r = bad.call("/t.S/Unary", script("rapid", "stall"), message("x"), false);
+    const ResultPtr r = bad.call("/t.S/Unary", script("rapid", "stall"), frameMessage("x"), false);
     if (r) bad.cancel(r);
   });
   flood([&](GrpcClient& bad) {
@@ -622,19 +626,19 @@
     bad.peer().flush();
   });
   const std::string emptySettings("\0\0\0\4\0\0\0\0\0", 9);
-  flood([&](GrpcClient& bad) { bad.peer().raw(emptySettings); });
+  flood([&](GrpcClient& bad) { bad.peer().writeRaw(emptySettings); });
   {  // empty DATA frames
     GrpcClient bad(rig.loop, rig.server->port());
-    const Held r = bad.call("/t.S/Unary", script("empty", "stall"), message("x"), false);
+    const ResultPtr r = bad.call("/t.S/Unary", script("empty", "stall"), frameMessage("x"), false);
     rig.runFor(5 * ms);
     std::string frame("\0\0\0\0\0\0\0\0", 8);
     frame += char(r->stream);
-    for (int k = 0; k < 1000 && !bad.closed(); ++k) bad.peer().raw(frame);
-    assert(rig.waitUntil([&] { return r->over; }));
+    for (int k = 0; k < 1000 && !bad.closed(); ++k) bad.peer().writeRaw(frame);
+    assert(rig.waitUntil([&] { return r->ended; }));
   }
   {  // a client that does not speak HTTP/2, and one that sends nothing
     GrpcClient bad(rig.loop, rig.server->port());
-    bad.peer().raw("GET / HTTP/1.1\r\n\r\n");
+    bad.peer().writeRaw("GET / HTTP/1.1\r\n\r\n");
     assert(rig.waitUntil([&] { return bad.closed(); }));
     boost::asio::ip::tcp::socket silent(rig.loop.io);
     silent.connect({boost::asio::ip::address_v4::loopback(), rig.server->port()});
@@ -652,25 +656,25 @@
     read();
     assert(rig.waitUntil([&] { return ended; }, 5'000 * ms));
   }
-  answered(good, "/t.S/Unary", script("still", "read status=0"), message("x"), 0, "");
+  answered(good, "/t.S/Unary", script("still", "read status=0"), frameMessage("x"), 0, "");
   rig.checkNothingLeft();
 }
 
 // Leaf servers without a free stream, and one that stops without notice.
 void testLeafConnections() {
   http2::Limits few;
-  few.streams = 2;
+  few.maxConcurrentStreams = 2;
   MixerRig rig(2, {}, few);
   GrpcClient client(rig.loop, rig.server->port());
-  std::vector<Held> all;
+  std::vector<ResultPtr> all;
   for (int k = 0; k < 40; ++k)
     all.push_back(client.call(
-        "/t.S/Unary", script("f" + std::to_string(k), "read wait=20 message=1 status=0"), message("x")));
-  for (const Held& r : all) assert(rig.waitForEnd(r) && r->outcomes == 1);
+        "/t.S/Unary", script("f" + std::to_string(k), "read wait=20 message=1 status=0"), frameMessage("x")));
+  for (const ResultPtr& r : all) assert(rig.waitForEnd(r) && r->outcomes == 1);
   // Two servers, two connections each, two streams on each: the other calls are rejected or exceed their
   // deadline, and none runs twice.
   int served = 0;
-  for (const Held& r : all) {
+  for (const ResultPtr& r : all) {
     served += r->status == 0;
     CHECK_CALL(r->status == 0 || r->status == 14 || r->status == 4, r);
   }
@@ -680,7 +684,8 @@
   rig.leaves[0]->stopListening();
   rig.leaves[0]->closeAll(true);
   for (int k = 0; k < 10; ++k) {
-    Held r = client.call("/t.S/Unsafe", script("g" + std::to_string(k), "read status=0"), message("x"));
+    ResultPtr r =
+        client.call("/t.S/Unsafe", script("g" + std::to_string(k), "read status=0"), frameMessage("x"));
     assert(rig.waitForEnd(r));
     CHECK_CALL(r->status == 0, r);
   }
@@ -691,7 +696,7 @@
 // runs at most once; nothing is left at the end.
 void testSoak(int number, unsigned seed) {
   MixerRig rig(4);
-  for (const auto& leaf : rig.leaves) leaf->keepMessages = leaf->keepSeen = false;
+  for (const auto& leaf : rig.leaves) leaf->keepMessages = leaf->recordCalls = false;
   std::mt19937 random(seed);
   const auto draw = [&](int n) { return int(random() % unsigned(n)); };
   struct CallKind {
@@ -725,7 +730,7 @@
   std::vector<std::unique_ptr<GrpcClient>> clients;
   for (int k = 0; k < 4; ++k) clients.push_back(std::make_unique<GrpcClient>(rig.loop, rig.server->port()));
   struct MadeCall {
-    Held result;
+    ResultPtr result;
     std::string id;
     bool once = false, cancelled = false;
     const char* script = "";
@@ -734,7 +739,7 @@
   std::size_t open = 0;
   for (auto& client : clients) {
     client->keepMessages = false;
-    client->onOver = [&](const Held&) { --open; };
+    client->onEnd = [&](const ResultPtr&) { --open; };
   }
   constexpr std::size_t kMaxOpenCalls = 60;
   const Micros timeout = 3'000 * ms;
@@ -747,8 +752,8 @@
     http2::Fields fields{
         {"call", id}, {"script", sort->script}, {"grpc-timeout", "3S"}, {"about", std::to_string(draw(50))}};
     GrpcClient& client = *clients[std::size_t(draw(4))];
-    const Held r =
-        client.call(sort->path, fields, message(std::string(std::size_t(draw(200)), 'x')), sort->end);
+    const ResultPtr r =
+        client.call(sort->path, fields, frameMessage(std::string(std::size_t(draw(200)), 'x')), sort->end);
     assert(r);
     ++open;
     const std::string path = sort->path;
@@ -757,7 +762,7 @@
     if (!sort->end || draw(40) == 0) {
       all.back().cancelled = true;
       rig.loop.deadlines.add(rig.loop.now() + draw(30) * ms, [&client, r] {
-        if (!r->over) client.cancel(r);
+        if (!r->ended) client.cancel(r);
       });
     }
     if (draw(700) == 0) rig.leaves[std::size_t(draw(4))]->closeAll(draw(2) == 0);
@@ -776,8 +781,8 @@
     const GrpcClient::Result& r = *made.result;
     outcomes += r.outcomes;
     ++byStatus[r.status];
-    late += r.overAt - r.beganAt > timeout;
-    tooLate += r.overAt - r.beganAt > timeout + kTimingTolerance;
+    late += r.endedAt - r.beganAt > timeout;
+    tooLate += r.endedAt - r.beganAt > timeout + kTimingTolerance;
     if (made.once && rig.timesRun(made.id) > 1) {
       ++twice;
       std::printf("%s ran %d times: %s\n", made.id.c_str(), rig.timesRun(made.id), made.script);
@@ -788,11 +793,12 @@
   std::printf(
       "calls %zu, outcomes %d, after their deadline %d, run twice though unsafe %d, open at the end %zu\n",
       all.size(), outcomes, late, twice,
-      rig.mixer->open() + rig.server->openCalls() + rig.channels->attempts());
+      rig.mixer->openQueries() + rig.server->openCalls() + rig.channels->attempts());
   for (const auto& [status, count] : byStatus)
     std::printf("  %-20s %d\n", status < 0 ? "cancelled by client" : grpc::name(grpc::Status(status)), count);
-  std::printf("sends %lu, hedges and retries %lu\n", (unsigned long)rig.counters.of(Count::sends),
-              (unsigned long)(rig.counters.of(Count::sends) - rig.counters.of(Count::queriesTaken)));
+  std::printf(
+      "sends %lu, hedges and retries %lu\n", (unsigned long)rig.counters.value(Counter::sends),
+      (unsigned long)(rig.counters.value(Counter::sends) - rig.counters.value(Counter::queriesTaken)));
   std::fflush(stdout);
   assert(tooLate == 0 && twice == 0 && outcomes == int(all.size()));
 }
@@ -805,16 +811,17 @@
   std::vector<double> times;
   for (int k = 0; k < number; ++k) {
     const std::string id = "t" + std::to_string(k);
-    const Held r = client.call(k % 2 ? "/t.S/Down" : "/t.S/Unary",
-                               script(id, k % 2 ? "message=1 stall" : "stall"), message("x"));
+    const ResultPtr r = client.call(k % 2 ? "/t.S/Down" : "/t.S/Unary",
+                                    script(id, k % 2 ? "message=1 stall" : "stall"), frameMessage("x"));
     const bool begun =
-        rig.waitUntil([&] { return rig.timesRun(id) >= 1 || r->over; });  // a hedged attempt may run, too
-    CHECK_CALL(begun && !r->over, r);
+        rig.waitUntil([&] { return rig.timesRun(id) >= 1 || r->ended; });  // a hedged attempt may run, too
+    CHECK_CALL(begun && !r->ended, r);
     const Micros began = rig.loop.now();
     client.cancel(r);
-    const GrpcLeaf::Seen* seen = nullptr;
+    const GrpcLeaf::RecordedCall* seen = nullptr;
     for (const auto& leaf : rig.leaves)
-      if (!leaf->seen().empty() && leaf->seen().back().call == id) seen = &leaf->seen().back();
+      if (!leaf->recordedCalls().empty() && leaf->recordedCalls().back().call == id)
+        seen = &leaf->recordedCalls().back();
     assert(seen && rig.waitUntil([&] { return seen->resetAt > 0; }));
     times.push_back(double(seen->resetAt - began));
     if (k % 50 == 49) rig.runFor(1'000 * ms);  // stay below the limit on resets (http2::Limits)
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -20,46 +20,46 @@
   set.instances = 1;
   set.tick = 5 * ms;
   set.cells = 1;
-  set.mayCancel = set.maySecondCopy = true;
+  set.mayCancel = set.mayHedge = true;
   set.maxAttempts = 3;
   set.maxRetryAfter = 500 * ms;
   return set;
 }
 
 // An Aggregator with a clock that the test advances.
-struct Rig {
-  Aggregator brain;
+struct AggregatorRig {
+  Aggregator aggregator;
   Micros now = 5000 * ms;
-  std::vector<Action> last;  // the actions of the last step
-  std::vector<Send> sends;   // of the whole run, as the following lists are
+  std::vector<Action> lastActions;  // the actions of the last step
+  std::vector<Send> sends;          // of the whole run, as the following lists are
   std::vector<Cancel> cancels;
   std::vector<Answer> answers;
   std::vector<Refuse> refusals;
   std::vector<Fail> fails;
   std::vector<CloseIdle> closes;
-  int subscribes = 0, queries = 0;
-  Micros timer = -1;  // when the timer set last fires; -1: none was set
+  int subscribeCount = 0, queryCount = 0;
+  Micros timerAt = -1;  // when the timer set last fires; -1: none was set
 
-  explicit Rig(Settings set, std::uint64_t seed = 7) : brain(std::move(set), seed) {}
+  explicit AggregatorRig(Settings set, std::uint64_t seed = 7) : aggregator(std::move(set), seed) {}
 
   // Feeds the events at the current time and records the actions.
   void step(const std::vector<Event>& events) {
-    last = brain.react(now, events);
+    lastActions = aggregator.react(now, events);
     std::vector<Event> withdrawn;  // a cancel ends its attempt, as with a server that keeps to the protocol
-    for (const Action& a : last)
+    for (const Action& a : lastActions)
       if (const auto* x = std::get_if<Cancel>(&a))
         for (const Send& s : sends)
           if (s.part == x->part && attemptOf(s) == x->attempt)
             withdrawn.push_back(AttemptEnded{x->part, x->attempt, Outcome::cancelled, s.server, 0, {}});
-    for (const Action& a : last) {
+    for (const Action& a : lastActions) {
       if (const auto* x = std::get_if<Send>(&a)) sends.push_back(*x);
       if (const auto* x = std::get_if<Cancel>(&a)) cancels.push_back(*x);
       if (const auto* x = std::get_if<Answer>(&a)) answers.push_back(*x);
       if (const auto* x = std::get_if<Refuse>(&a)) refusals.push_back(*x);
       if (const auto* x = std::get_if<Fail>(&a)) fails.push_back(*x);
       if (const auto* x = std::get_if<CloseIdle>(&a)) closes.push_back(*x);
-      if (std::get_if<Subscribe>(&a)) ++subscribes;
-      if (const auto* x = std::get_if<SetTimer>(&a)) timer = now + x->delay;
+      if (std::get_if<Subscribe>(&a)) ++subscribeCount;
+      if (const auto* x = std::get_if<SetTimer>(&a)) timerAt = now + x->delay;
     }
     if (!withdrawn.empty()) step(withdrawn);
   }
@@ -73,25 +73,25 @@
     return attempt;
   }
   // Advances the time in steps of 5 ms, with the timer firing at each.
-  void pass(Micros duration) {
+  void advance(Micros duration) {
     for (const Micros until = now + duration; now < until;) {
       now += 5 * ms;
       step({TimerFired{}});
     }
   }
   void servers(std::vector<ServerEntry> entries, ListKind kind = ListKind::complete) {
-    step({ListArrived{kind, std::move(entries)}});
+    step({ServerListArrived{kind, std::move(entries)}});
   }
   // Queries that have a final answer.
-  std::size_t ended() const { return answers.size() + refusals.size() + fails.size(); }
+  std::size_t finalAnswers() const { return answers.size() + refusals.size() + fails.size(); }
   // Submits a query of equal parts on shards 0 to parts - 1, with the ids "q1", "q1.0", "q1.1", ... `left`:
   // the time until its deadline. Returns the id.
   std::string query(int parts, int cls = 0, Micros left = 4000 * ms, const std::string& key = "k",
                     int tenant = 0) {
-    const std::string id = "q" + std::to_string(++queries);
-    std::vector<Event> events{QueryArrived{id, queries, cls, tenant, parts, left, key, false}};
+    const std::string id = "q" + std::to_string(++queryCount);
+    std::vector<Event> events{QueryArrived{id, queryCount, cls, tenant, parts, left, key, false}};
     for (int k = 0; k < parts; ++k)
-      events.push_back(PartArrived{id + "." + std::to_string(k), queries, k, 1.0 / parts});
+      events.push_back(PartArrived{id + "." + std::to_string(k), queryCount, k, 1.0 / parts});
     step(events);
     return id;
   }
@@ -101,11 +101,11 @@
   }
   // Submits n queries of one part, each answered after `latency`, to fill the latency trackers and the
   // token bucket of hedges.
-  void warm(int n, Micros latency, int cls = 0) {
+  void warmUp(int n, Micros latency, int cls = 0) {
     for (int k = 0; k < n; ++k) {
       query(1, cls, 4000 * ms, "warm" + std::to_string(k));
       const std::size_t at = sends.size() - 1;
-      pass(latency);
+      advance(latency);
       finish(at);
     }
   }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -12,14 +12,14 @@
 
 #include "config/config.hpp"
 #include "core/deadlines.hpp"
-#include "core/query_tracker.hpp"
 #include "core/mixer.hpp"
+#include "core/query_tracker.hpp"
 #include "core/settings_change.hpp"
 #include "core/slot_table.hpp"
 #include "front/http/server.hpp"
 #include "http/http.hpp"
-#include "leaf/frame/frame.hpp"
 #include "leaf/frame/connections.hpp"
+#include "leaf/frame/frame.hpp"
 #include "leaf/sockets.hpp"
 
 #ifdef NDEBUG
@@ -53,17 +53,17 @@
   const std::size_t pieces[3] = {1, 7, 100'000};
   for (int k = 0; k < 3; ++k) {
     HttpParser parser(HttpParser::Kind::request);
-    HttpParser::State state = HttpParser::State::more;
+    HttpParser::State state = HttpParser::State::needMore;
     std::string unread;
     for (std::size_t at = 0; at < text.size(); at += pieces[k]) {
       const std::string piece = text.substr(at, pieces[k]);
       std::string_view in = piece;
-      if (state == HttpParser::State::more) state = parser.feed(in);
+      if (state == HttpParser::State::needMore) state = parser.feed(in);
       unread += in;
     }
-    result[k] = state == HttpParser::State::done   ? 0
-                : state == HttpParser::State::more ? -1
-                                                   : parser.errorStatus();
+    result[k] = state == HttpParser::State::done       ? 0
+                : state == HttpParser::State::needMore ? -1
+                                                       : parser.errorStatus();
     if (state == HttpParser::State::done && out) *out = parser.take();
     if (left) *left = unread;
   }
@@ -110,10 +110,10 @@
   const std::string bytes = writeFrame('O', "q.1 200 17 inflight=7,queue=2\nva\nlue") + writeFrame('I', "");
   for (const char c : bytes.substr(0, bytes.size() - 1)) reader.append({&c, 1});
   assert(reader.next(frame) == FrameReader::State::frame && frame.letter == 'O');
-  assert(reader.next(frame) == FrameReader::State::more);
+  assert(reader.next(frame) == FrameReader::State::needMore);
   const auto answer = readAnswer({'O', "q.1 200 17 inflight=7,queue=2\nva\nlue"});
   assert(answer && answer->id == "q.1" && answer->outcome == Outcome::done && answer->score == 17);
-  assert(answer->value == "va\nlue" && answer->load->held == 7 && answer->load->waiting == 2);
+  assert(answer->value == "va\nlue" && answer->load->active == 7 && answer->load->waiting == 2);
   assert(readAnswer({'O', "q 503 - -\n"})->outcome == Outcome::busy);
   assert(readAnswer({'O', "q 500 0 -\n"})->outcome == Outcome::error);
   // Scores are compared with each other, so two that differ in the lowest of 64 bits must not be read as
@@ -142,12 +142,12 @@
         writeFrame('O', std::string(2000, 'x')).substr(0, 1500)}) {
     FrameReader other;
     other.append(bad);
-    assert(other.next(frame) == FrameReader::State::bad);
+    assert(other.next(frame) == FrameReader::State::malformed);
   }
 }
 
 void slots() {
-  Slots<int> table;
+  SharedSlotTable<int> table;
   const Handle first = table.add(1);
   assert(table.remove(first) && !table.remove(first));
   const Handle second = table.add(2);
@@ -165,15 +165,15 @@
   std::optional<Deadlines::Key> other;
   deadlines.add(10, [&] {
     ran += 'a';
-    deadlines.drop(dropped);                 // is due in the same sweep
+    deadlines.cancel(dropped);               // is due in the same sweep
     deadlines.add(10, [&] { ran += 'b'; });  // runs in the next sweep, so that every sweep ends
     other = deadlines.add(25, [&] { ran += 'y'; });
   });
-  assert(earlierCalls == 3 && deadlines.next() == 10);
-  assert(deadlines.sweep(9) == 0 && deadlines.sweep(30) == 2 && ran == "ac" && !dropped);
-  deadlines.drop(other);
-  deadlines.drop(other);
-  assert(deadlines.sweep(30) == 1 && ran == "acb" && deadlines.size() == 0 && !deadlines.next());
+  assert(earlierCalls == 3 && deadlines.nextDue() == 10);
+  assert(deadlines.runDue(9) == 0 && deadlines.runDue(30) == 2 && ran == "ac" && !dropped);
+  deadlines.cancel(other);
+  deadlines.cancel(other);
+  assert(deadlines.runDue(30) == 1 && ran == "acb" && deadlines.size() == 0 && !deadlines.nextDue());
 }
 
 void queryRequests() {
@@ -188,7 +188,7 @@
       {"x-request-id", "r"}, {"x-priority-class", "plain"}, {"x-timeout", "0.480"}, {"x-retried", "1"}};
   m.body =
       R"({"parts":[{"id":3,"w":0.5,"hint":9000,"tag":"00c41e77d05be2a0"},{"id":7,"w":0.5}],"expr":"c4"})";
-  const ReadQuery read = readQuery(m, host, 1'000'000);
+  const ParsedQuery read = parseQuery(m, host, 1'000'000);
   assert(read.status == 0 && read.query.key == "user7" && read.query.repeated && read.query.text == "c4");
   assert(read.query.parts.size() == 2 && read.query.parts[1].shard == 7 && read.query.parts[1].weight == 0.5);
   // 35 parts whose weights are rounded separately: their sum is 15 millionths below 1, and they are scaled
@@ -200,17 +200,17 @@
   for (int k = 0; k < 35; ++k)
     many.body += (k ? "," : "") + ("{\"id\":" + std::to_string(k)) + R"(,"w":0.028571})";
   many.body += "]}";
-  const ReadQuery rounded = readQuery(many, wide, 0);
+  const ParsedQuery rounded = parseQuery(many, wide, 0);
   double sum = 0;
   for (const QueryPart& part : rounded.query.parts) sum += part.weight;
   assert(rounded.status == 0 && rounded.query.parts.size() == 35 && std::abs(sum - 1.0) < 1e-9);
   // The client's time-out runs from when it sent the request, so the deadline is earlier than the time-out
   // counted from the arrival.
-  assert(read.query.until < 1'480'000 && read.query.until > 1'400'000);
+  assert(read.query.deadline < 1'480'000 && read.query.deadline > 1'400'000);
   const auto status = [&](auto change) {
     HttpMessage other = m;
     change(other);
-    return readQuery(other, host, 0).status;
+    return parseQuery(other, host, 0).status;
   };
   assert(status([](auto& o) { o.method = "PUT"; }) == 405);
   assert(status([](auto& o) { o.target = "/apix"; }) == 404);
@@ -241,7 +241,7 @@
       json::parse(R"({"index":4,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:80",
     "zone":"b","group":3,"status":"Terminating","since_ms":5},{"name":"g","status":"Gone"}]})");
   const LeafList list = readList(good, {"a", "b"});
-  assert(list.index == 4 && list.whole && list.entries.size() == 2 && list.entries[0].zone == 1);
+  assert(list.index == 4 && list.fullSnapshot && list.entries.size() == 2 && list.entries[0].zone == 1);
   assert(list.entries[0].state == ServerState::draining && list.entries[1].state == ServerState::gone);
   const auto rejected = [&](const char* path, json value) {
     json body = good;
@@ -249,7 +249,7 @@
     try {
       readList(body, {});
       return false;
-    } catch (const BadConfig&) {
+    } catch (const ConfigError&) {
       return true;
     }
   };
@@ -269,28 +269,28 @@
   Counters counters;
   tcp::acceptor acceptor{loop.io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)};
   LeafSockets leaves;
-  Slots<int> attempts;
+  SharedSlotTable<int> attempts;
   std::vector<std::pair<Handle, Outcome>> ends;
 
-  static LinkLimits limits(Micros connIdle, int maxConnections) {
-    LinkLimits out;
-    out.streams = 2;
+  static FrameConnectionLimits limits(Micros idleTimeout, int maxConnections) {
+    FrameConnectionLimits out;
+    out.partsPerConnection = 2;
     out.connectTimeout = 10'000'000;
-    out.connIdle = connIdle;
-    out.linksMost = maxConnections;
+    out.idleTimeout = idleTimeout;
+    out.maxConnections = maxConnections;
     return out;
   }
-  explicit LeafRig(Micros connIdle = 0, int maxConnections = 8)
-      : leaves(loop, std::make_unique<Links>(limits(connIdle, maxConnections), &counters)) {
-    leaves.onEnded = [this](Handle h, Outcome outcome, LeafAnswer) { ends.emplace_back(h, outcome); };
+  explicit LeafRig(Micros idleTimeout = 0, int maxConnections = 8)
+      : leaves(loop, std::make_unique<FrameConnections>(limits(idleTimeout, maxConnections), &counters)) {
+    leaves.onAttemptEnded = [this](Handle h, Outcome outcome, LeafAnswer) { ends.emplace_back(h, outcome); };
     update(ServerState::serving);
   }
-  void update(ServerState state, std::int64_t sinceMs = 0, const std::string& name = "s") {
+  void update(ServerState state, std::int64_t startedUnixMs = 0, const std::string& name = "s") {
     LeafEntry entry;
     entry.name = name;
     entry.address = {"127.0.0.1", acceptor.local_endpoint().port()};
     entry.state = state;
-    entry.sinceMs = sinceMs;
+    entry.startedUnixMs = startedUnixMs;
     leaves.update(entry);
   }
   Handle send(const std::string& id, const std::string& text = "t", Micros startBy = INT64_MAX) {
@@ -323,14 +323,14 @@
   FrameReader fromA("DK"), fromB("DK");
   rig.runUntil([&] { return a.available() > 0; });
   assert(LeafRig::read(a, fromA).letter == 'D');
-  rig.leaves.giveUp(first);
+  rig.leaves.abandon(first);
   assert(LeafRig::read(a, fromA).letter == 'K');
   const Handle second = rig.send("q.0");
   auto b = rig.accept();
   rig.runUntil([&] { return b.available() > 0; });
   assert(LeafRig::read(b, fromB).letter == 'D');
   a.write_some(boost::asio::buffer(writeFrame('O', "q.0 200 1 -\nold")));
-  rig.runUntil([&] { return rig.counters.of(Count::lateAnswers) == 1; });
+  rig.runUntil([&] { return rig.counters.value(Counter::lateAnswers) == 1; });
   assert(rig.ends.empty());
   b.write_some(boost::asio::buffer(writeFrame('O', "q.0 200 1 -\nnew")));
   rig.runUntil([&] { return !rig.ends.empty(); });
@@ -341,53 +341,54 @@
 // fails only one of them; after the breaks one connection carries all parts again.
 void breaksSpreadParts() {
   Counters counters;
-  LinkLimits limits;
-  limits.streams = 100;
-  Links links(limits, &counters);
-  Slots<int> attempts;
+  FrameConnectionLimits limits;
+  limits.partsPerConnection = 100;
+  FrameConnections connections(limits, &counters);
+  SharedSlotTable<int> attempts;
   Micros now = 1'000'000;
-  links.at(now);
+  connections.setNow(now);
   LeafEntry entry;
   entry.name = "s";
   entry.address = {"127.0.0.1", 1};
-  links.update(entry);
+  connections.update(entry);
   int ended = 0, sent = 0;
   std::set<std::uint64_t> wroteTo;  // connections that were written to since it was cleared
   const auto settle = [&] {
-    while (!links.quiet())
-      for (const Links::Effect& effect : links.take()) {
-        if (const auto* open = std::get_if<Links::Open>(&effect)) links.cameUp(open->link, 0);
-        if (std::get_if<Links::Ended>(&effect)) ++ended;
-        if (const auto* flush = std::get_if<Links::Flush>(&effect))
-          for (std::string_view bytes; !(bytes = links.front(flush->link)).empty();
-               links.wrote(flush->link, bytes.size()))
-            wroteTo.insert(number(flush->link));
+    while (!connections.idle())
+      for (const FrameConnections::Effect& effect : connections.takeEffects()) {
+        if (const auto* open = std::get_if<FrameConnections::Open>(&effect))
+          connections.connected(open->connection, 0);
+        if (std::get_if<FrameConnections::Ended>(&effect)) ++ended;
+        if (const auto* flush = std::get_if<FrameConnections::Flush>(&effect))
+          for (std::string_view bytes; !(bytes = connections.nextBytes(flush->connection)).empty();
+               connections.bytesWritten(flush->connection, bytes.size()))
+            wroteTo.insert(toNumber(flush->connection));
       }
   };
   const auto send = [&](int n) {
     wroteTo.clear();
     for (int k = 0; k < n; ++k)
-      links.send("s", {Call{attempts.add(0), "q." + std::to_string(++sent), 0, "",
-                            std::make_shared<const std::string>("t"), now + 5'000'000}});
+      connections.send("s", {Call{attempts.add(0), "q." + std::to_string(++sent), 0, "",
+                                  std::make_shared<const std::string>("t"), now + 5'000'000}});
     settle();
   };
   for (int k = 0; k < 3; ++k) {
     send(4);
     assert(wroteTo.size() == 1);
     ended = 0;
-    links.failed(links.all().front(), "broke");
+    connections.failed(connections.connections().front(), "broke");
     settle();
     assert(ended == 4);
   }
   send(4);
   assert(wroteTo.size() == 4);
   ended = 0;
-  links.failed(links.all().front(), "broke");
+  connections.failed(connections.connections().front(), "broke");
   settle();
   assert(ended == 1);
   send(20);
-  assert(int(links.size()) == limits.maxSpreadConnections);
-  links.at(now += 20'000'000);
+  assert(int(connections.connectionCount()) == limits.maxSpreadConnections);
+  connections.setNow(now += 20'000'000);
   send(4);
   assert(wroteTo.size() == 1);
 }
@@ -397,11 +398,11 @@
 void waitingSends() {
   LeafRig rig;
   const Handle abandoned = rig.send("q.0"), sent = rig.send("q.1");
-  rig.leaves.giveUp(abandoned);
+  rig.leaves.abandon(abandoned);
   auto a = rig.accept();
   FrameReader reader("DK");
   rig.runUntil([&] { return a.available() > 0; });
-  assert(LeafRig::read(a, reader).rest.starts_with("q.1 "));
+  assert(LeafRig::read(a, reader).content.starts_with("q.1 "));
   assert(rig.ends.empty());
   a.close();
   rig.runUntil([&] { return !rig.ends.empty(); });
@@ -425,19 +426,19 @@
   auto a = rig.accept();
   rig.runUntil([&] { return a.available() > 0; });
   rig.update(ServerState::serving, before);
-  assert(rig.ends.empty() && rig.leaves.connections() == 1);
+  assert(rig.ends.empty() && rig.leaves.connectionCount() == 1);
   rig.update(ServerState::serving, before + 60'000);
   assert(rig.ends.size() == 1 && rig.ends[0] == std::make_pair(h, Outcome::reset));
-  assert(rig.leaves.connections() == 0);
+  assert(rig.leaves.connectionCount() == 0);
 }
 
 // A connection that carries its maximum of parts is joined by another. Idle connections are closed before the
 // server's idle limit. At the limit of connections a send fails rather than use the descriptors that others
 // need.
 void connectionLimits() {
-  LeafRig rig(/*connIdle=*/200'000, /*maxConnections=*/2);
+  LeafRig rig(/*idleTimeout=*/200'000, /*maxConnections=*/2);
   for (const char* id : {"q.0", "q.1", "q.2", "q.3"}) rig.send(id);
-  assert(rig.leaves.connections() == 2 && rig.ends.empty());
+  assert(rig.leaves.connectionCount() == 2 && rig.ends.empty());
   const Handle fifth = rig.send("q.4");
   assert(rig.ends.back() == std::make_pair(fifth, Outcome::connectFailed));
   auto a = rig.accept(), b = rig.accept();
@@ -447,8 +448,8 @@
     a.write_some(boost::asio::buffer(writeFrame('O', std::string(id) + " 200 1 -\n")));
   rig.runUntil([&] { return rig.ends.size() == 3; });
   // The idle connection is closed; the other has parts outstanding.
-  rig.runUntil([&] { return rig.leaves.connections() == 1; });
-  assert(rig.counters.of(Count::leafConnectionsLost) == 0);
+  rig.runUntil([&] { return rig.leaves.connectionCount() == 1; });
+  assert(rig.counters.value(Counter::leafConnectionsLost) == 0);
 }
 
 // An answer with an id that was never sent on the connection has a corrupted id, so the attempt that it
@@ -463,18 +464,18 @@
   assert(LeafRig::read(a, reader).letter == 'D');
   const std::string answer = writeFrame('O', "q.0 200 1 -\nv");
   a.write_some(boost::asio::buffer(answer + answer));
-  rig.runUntil([&] { return rig.counters.of(Count::lateAnswers) == 1; });
+  rig.runUntil([&] { return rig.counters.value(Counter::lateAnswers) == 1; });
   assert(rig.ends.size() == 1 && rig.ends[0] == std::make_pair(first, Outcome::done));
   const Handle second = rig.send("q.1"), third = rig.send("q.2");
-  rig.leaves.giveUp(second);
+  rig.leaves.abandon(second);
   rig.leaves.forget("q.1");
   a.write_some(boost::asio::buffer(writeFrame('O', "q.1 200 1 -\nv")));
-  rig.runUntil([&] { return rig.counters.of(Count::lateAnswers) == 2; });
-  assert(rig.ends.size() == 1 && rig.counters.of(Count::badFrames) == 0);
+  rig.runUntil([&] { return rig.counters.value(Counter::lateAnswers) == 2; });
+  assert(rig.ends.size() == 1 && rig.counters.value(Counter::badFrames) == 0);
   a.write_some(boost::asio::buffer(writeFrame('O', "q.7 200 1 -\nv")));
   rig.runUntil([&] { return rig.ends.size() > 1; });
-  assert(rig.ends[1] == std::make_pair(third, Outcome::reset) && rig.counters.of(Count::badFrames) == 1);
-  assert(rig.leaves.connections() == 0);
+  assert(rig.ends[1] == std::make_pair(third, Outcome::reset) && rig.counters.value(Counter::badFrames) == 1);
+  assert(rig.leaves.connectionCount() == 0);
 }
 
 // A frame with too great a length would swallow the answers after it, so the rest of a frame has to arrive in
@@ -487,7 +488,7 @@
   const std::string complete = writeFrame('O', "q.0 200 1 -\nvalue");
   a.write_some(boost::asio::buffer(complete.substr(0, complete.size() - 1)));
   rig.runUntil([&] { return !rig.ends.empty(); });
-  assert(rig.ends[0] == std::make_pair(first, Outcome::reset) && rig.counters.of(Count::badFrames) == 1);
+  assert(rig.ends[0] == std::make_pair(first, Outcome::reset) && rig.counters.value(Counter::badFrames) == 1);
   const Handle second = rig.send("q.0");
   auto b = rig.accept();
   rig.runUntil([&] { return b.available() > 0; });
@@ -495,7 +496,7 @@
   rig.runUntil([&] { return rig.ends.size() == 2; });
   assert(rig.ends[1] == std::make_pair(second, Outcome::done));
   rig.send("q.1");
-  assert(rig.leaves.connections() == 2);
+  assert(rig.leaves.connectionCount() == 2);
 }
 
 // A connection that is silent while its server is well gets no new parts; they go to a newer one. When
@@ -510,14 +511,14 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   rig.send("q.2");
   rig.send("q.3");
-  assert(rig.leaves.connections() == 2);
+  assert(rig.leaves.connectionCount() == 2);
   auto b = rig.accept();
   rig.runUntil([&] { return b.available() > 0; });
   b.write_some(boost::asio::buffer(writeFrame('O', "q.2 200 1 -\n") + writeFrame('O', "q.3 200 1 -\n")));
   rig.runUntil([&] { return rig.ends.size() == 3; });
   assert(rig.ends[0].second == Outcome::done);
   assert(std::ranges::count(rig.ends, std::make_pair(stuck, Outcome::timedOut)) == 1);
-  assert(rig.leaves.connections() == 1 && rig.counters.of(Count::leafConnectionsSilent) == 1);
+  assert(rig.leaves.connectionCount() == 1 && rig.counters.value(Counter::leafConnectionsSilent) == 1);
   boost::system::error_code ec;
   for (std::array<char, 256> bytes; !ec;) a.read_some(boost::asio::buffer(bytes), ec);
   assert(ec == boost::asio::error::connection_reset);
@@ -529,10 +530,10 @@
   const Handle h = rig.send("q.0");
   auto a = rig.accept();
   rig.runUntil([&] { return a.available() > 0; });
-  rig.leaves.giveUp(h);
+  rig.leaves.abandon(h);
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   rig.send("q.1");
-  assert(rig.leaves.connections() == 1);
+  assert(rig.leaves.connectionCount() == 1);
 }
 
 // After its query's final answer a part that still waits for its connection is withdrawn; one that is written
@@ -542,11 +543,11 @@
   const Handle waiting = rig.send("q.0"), written = rig.send("q.1");
   rig.leaves.withdraw(waiting);
   assert(rig.ends.back() == std::make_pair(waiting, Outcome::cancelled));
-  assert(rig.counters.of(Count::withdrawn) == 1);
+  assert(rig.counters.value(Counter::withdrawn) == 1);
   auto a = rig.accept();
   FrameReader reader("DK");
   rig.runUntil([&] { return a.available() > 0; });
-  assert(LeafRig::read(a, reader).rest.starts_with("q.1 "));
+  assert(LeafRig::read(a, reader).content.starts_with("q.1 "));
   rig.leaves.withdraw(written);
   assert(rig.ends.size() == 1);
 }
@@ -577,14 +578,14 @@
     else
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     while (reader.next(frame) == FrameReader::State::frame)
-      got.push_back(frame.letter + frame.rest.substr(0, frame.rest.find(' ')));
+      got.push_back(frame.letter + frame.content.substr(0, frame.content.find(' ')));
   };
   while (got.empty() || rig.ends.size() < 2) {
     rig.loop.io.run_for(std::chrono::milliseconds(2));
     readAll();
   }
   assert(rig.ends[1] == std::make_pair(overdue, Outcome::connectFailed));
-  rig.leaves.giveUp(first);
+  rig.leaves.abandon(first);
   while (got.size() < 2) {
     rig.loop.io.run_for(std::chrono::milliseconds(2));
     readAll();
@@ -592,8 +593,8 @@
   assert(got[0] == "Dq.0" && got[1] == "Kq.0");
 }
 
-// Whatever the decision module asks for, the ledger sends no part more often than its class allows, and sends
-// no part again that may have run once the window in which leaf servers drop repeats has passed.
+// Whatever the decision module asks for, the query tracker sends no part more often than its class allows,
+// and sends no part again that may have run once the window in which leaf servers drop repeats has passed.
 void repeatedSends() {
   Settings set;
   set.classes.resize(3);
@@ -603,36 +604,36 @@
   set.maxAttempts = 3;
   HostSettings host;
   host.classKeyed = {false, true, false};
-  const auto rules = std::make_shared<const Ledger::Rules>(Ledger::Rules{set, host});
-  // Returns how many sends the ledger lets out of 1 + `more` that are asked for one part: one at time 0, the
-  // others at `at`, after the first attempt has ended with `outcome`.
+  const auto rules = std::make_shared<const QueryTracker::Config>(QueryTracker::Config{set, host});
+  // Returns how many sends the query tracker lets out of 1 + `more` that are asked for one part: one at time
+  // 0, the others at `at`, after the first attempt has ended with `outcome`.
   const auto sends = [&](int cls, Outcome outcome, Micros at, int more = 1) {
     Counters counters;
-    Ledger ledger(rules, &counters);
-    ledger.at(0);
+    QueryTracker tracker(rules, &counters);
+    tracker.setNow(0);
     NewQuery q;
     q.id = "q";
     q.cls = cls;
-    q.until = 60'000'000;
+    q.deadline = 60'000'000;
     q.parts = {{0, 1.0}};
     q.idempotencyKey = "k";
     Handle h;
-    assert(ledger.submit(q, h) == Ledger::Taken::open);
+    assert(tracker.submit(q, h) == QueryTracker::SubmitResult::accepted);
     std::size_t out = 0;
     const auto send = [&] {
-      ledger.act(Send{"q.0", "s", 0});
-      ledger.flushCalls();
+      tracker.apply(Send{"q.0", "s", 0});
+      tracker.flushCalls();
       Handle last;
-      for (const auto& command : ledger.take())
-        if (const auto* calls = std::get_if<Ledger::SendCalls>(&command)) {
+      for (const auto& command : tracker.takeCommands())
+        if (const auto* calls = std::get_if<QueryTracker::SendCalls>(&command)) {
           out += calls->calls.size();
           last = calls->calls[0].attempt;
         }
       return last;
     };
     const Handle first = send();
-    ledger.at(at);
-    if (outcome != Outcome::done) ledger.ended(first, outcome, {});
+    tracker.setNow(at);
+    if (outcome != Outcome::done) tracker.attemptEnded(first, outcome, {});
     for (int k = 0; k < more; ++k) send();
     return out;
   };
@@ -647,7 +648,7 @@
 
 // At the limit of connections an idle one is closed in favour of a new one.
 void idleConnectionReplaced() {
-  LeafRig rig(/*connIdle=*/0, /*maxConnections=*/1);
+  LeafRig rig(/*idleTimeout=*/0, /*maxConnections=*/1);
   rig.update(ServerState::serving, 0, "t");
   rig.send("q.0");
   auto a = rig.accept();
@@ -657,7 +658,7 @@
   const Handle h = rig.attempts.add(0);
   rig.leaves.send(
       "t", {Call{h, "q.1", 0, "", std::make_shared<const std::string>("t"), rig.loop.now() + 5'000'000}});
-  assert(rig.ends.size() == 1 && rig.leaves.connections() == 1);
+  assert(rig.ends.size() == 1 && rig.leaves.connectionCount() == 1);
 }
 
 // Servers are replaced under new ids, and clients send new ids and keys, for as long as the mixer runs: the
@@ -677,7 +678,7 @@
     std::vector<Event> events;
     ServerEntry entry;
     entry.id = "s" + n;
-    events.push_back(ListArrived{ListKind::complete, {entry}});
+    events.push_back(ServerListArrived{ListKind::complete, {entry}});
     events.push_back(QueryArrived{"q" + n, k, 0, 0, 1, 4'000'000, "key" + n, false});
     events.push_back(PartArrived{"q" + n + ".0", k, 0, 1.0});
     for (const Action& action : module.react(now += 10'000, events))
@@ -699,7 +700,7 @@
     void update(const LeafEntry&) override {}
     void keepOnly(const std::vector<LeafEntry>&) override {}
     void send(const std::string&, std::vector<Call>) override {}
-    void giveUp(Handle) override {}
+    void abandon(Handle) override {}
     void withdraw(Handle) override {}
     void forget(const std::string&) override {}
     void closeIdle(const std::string&) override {}
@@ -715,23 +716,23 @@
   host.classKeyed = {false};
   Mixer mixer(loop, counters, side, set, host, 7);
   LeafList list;
-  list.whole = true;
+  list.fullSnapshot = true;
   list.entries.push_back({"s", {"127.0.0.1", 9}, 0, 0, ServerState::serving, 0});
-  mixer.list(list, ListKind::complete);
+  mixer.updateLeafList(list, ListKind::complete);
   int answers = 0;
   NewQuery query;
   query.id = "q";
-  query.until = loop.now() + 200'000;
+  query.deadline = loop.now() + 200'000;
   query.parts = {{0, 1.0}};
   Handle h;
   mixer.submit(
       query, [&](const FinalAnswer& answer) { answers += answer.kind == FinalAnswer::Kind::refused; }, h);
   loop.io.run_for(std::chrono::milliseconds(50));
   std::this_thread::sleep_until(
-      std::chrono::steady_clock::time_point(std::chrono::microseconds(query.until - 2'000)));
+      std::chrono::steady_clock::time_point(std::chrono::microseconds(query.deadline - 2'000)));
   loop.io.restart();
   loop.io.run_for(std::chrono::milliseconds(100));
-  assert(answers == 1 && counters.of(Count::backstops) == 0 && counters.of(Count::defects) == 0);
+  assert(answers == 1 && counters.value(Counter::backstops) == 0 && counters.value(Counter::defects) == 0);
 }
 
 }  // namespace
@@ -747,38 +748,38 @@
       out.first.classes.emplace_back().aim = aim;
       out.second.classNames.push_back(name);
       out.second.classKeyed.push_back(false);
-      out.second.classNeed.push_back(1);
-      out.second.classFloor.push_back(1);
+      out.second.classRequiredShare.push_back(1);
+      out.second.classMinimumShare.push_back(1);
     }
     return out;
   };
   std::set<int> heldIndices;
   Micros now = 1000;
   const auto apply = [&](const std::pair<Settings, HostSettings>& next) {
-    Retune out = retune(
+    SettingsChange out = planSettingsChange(
         set, host, next.first, next.second, [&](int k) { return heldIndices.contains(k); }, now);
     set = out.settings;
     host = out.host;
-    return out.from;
+    return out.inheritFrom;
   };
   std::tie(set, host) = file({{"a", 1}, {"b", 2}});
   // b is listed first and a is changed: b keeps its index, a gets a new one together with what was learned of
   // a.
   assert((apply(file({{"b", 2}, {"a", 3}})) == std::vector<int>{0, 1, 0}));
-  assert(host.classOf("a", now) == 2 && host.classOf("b", now) == 1 && set.classes[2].aim == 3);
+  assert(host.classIndex("a", now) == 2 && host.classIndex("b", now) == 1 && set.classes[2].aim == 3);
   assert(set.classes[0].aim == 1);
   // a is removed and can be looked up for a while; the index of the first a is free for reuse unless a query
   // holds it.
   heldIndices = {0};
   assert((apply(file({{"b", 2}, {"c", 4}})) == std::vector<int>{0, 1, 2, -1}));
-  assert(host.classOf("a", now) == 2 && host.classOf("c", now) == 3 && set.classes[0].aim == 1);
+  assert(host.classIndex("a", now) == 2 && host.classIndex("c", now) == 3 && set.classes[0].aim == 1);
   now += 60'000'000;
-  assert(host.classOf("a", now) == -1 && host.classOf("nobody", now) == -1);
+  assert(host.classIndex("a", now) == -1 && host.classIndex("nobody", now) == -1);
   heldIndices = {};
   assert((apply(file({{"b", 2}, {"c", 4}, {"d", 5}})) == std::vector<int>{-1, 1, 2, 3}));
-  assert(host.classOf("d", now) == 0 && set.classes[0].aim == 5);
+  assert(host.classIndex("d", now) == 0 && set.classes[0].aim == 5);
   for (int k = 0; k < 100; ++k, now += 100'000) apply(file({{"b", 2}, {"c", 100 + k}}));
-  assert(set.classes.size() <= 6 && host.classOf("c", now) >= 0);
+  assert(set.classes.size() <= 6 && host.classIndex("c", now) >= 0);
 }
 
 int main() {
--- a/tests/phases_sockets.cpp
+++ b/tests/phases_sockets.cpp
@@ -48,7 +48,7 @@
   std::vector<std::unique_ptr<FrameLeaf>> leaves;
   std::unique_ptr<LeafSockets> leafSide;
   std::unique_ptr<Mixer> mixer;
-  std::unique_ptr<Clients> server;
+  std::unique_ptr<HttpServer> server;
   std::map<std::string, HttpQuery> asked;
   std::set<std::string> answered;
   double firstMinimum = 0, secondMinimum = 1;  // minimum shares of the plan's phases
@@ -60,42 +60,43 @@
     safe.aim = aim;
     safe.deadline = 3 * aim;
     safe.lateShare = 0.5;
-    safe.floor = 0.25;
+    safe.minimumShare = 0.25;
     ClassSettings late = safe;
     late.lateShare = 0;
     settings.classes = {safe, safe, late};
     settings.tick = 5 * kMs;
-    settings.mayCancel = settings.maySecondCopy = true;
+    settings.mayCancel = settings.mayHedge = true;
     settings.maxAttempts = 3;
     settings.maxRetryAfter = 500 * kMs;
     hostSettings.zones = {"a"};
     hostSettings.classNames = {"safe", "planned", "late"};
     hostSettings.classKeyed = {false, false, false};
-    hostSettings.classNeed = {1, 1, 1};
-    hostSettings.classFloor = {0.25, 0.25, 0.25};
+    hostSettings.classRequiredShare = {1, 1, 1};
+    hostSettings.classMinimumShare = {0.25, 0.25, 0.25};
     hostSettings.shards = kShards;
-    hostSettings.streams = 1000;
+    hostSettings.partsPerConnection = 1000;
     hostSettings.connectTimeout = 1000 * kMs;
-    hostSettings.mayRetryAfter = true;
+    hostSettings.sendRetryAfter = true;
     hostSettings.plans = readPlans("queries_may_plan: true\nclasses:\n- {class: planned, phases: " + phases +
                                        "}\n- {class: late, phases: " + phases + "}\n",
                                    "plans", hostSettings.classNames, settings.classes);
-    const phases::Plan& plan = *hostSettings.plans.ofClass[1];
-    firstMinimum = plan.phases[0].least;
-    secondMinimum = plan.two() ? plan.phases[1].least : 1;
+    const phases::Plan& plan = *hostSettings.plans.byClass[1];
+    firstMinimum = plan.phases[0].minimumShare;
+    secondMinimum = plan.hasSecondPhase() ? plan.phases[1].minimumShare : 1;
     for (int k = 0; k < servers; ++k) leaves.push_back(std::make_unique<FrameLeaf>(loop, script));
     leafSide = std::make_unique<LeafSockets>(
-        loop, std::make_unique<Links>(linkLimits(hostSettings, settings, 64), &counters));
+        loop,
+        std::make_unique<FrameConnections>(frameConnectionLimits(hostSettings, settings, 64), &counters));
     mixer = std::make_unique<Mixer>(loop, counters, *leafSide, settings, hostSettings, 7);
     updateLeafList();
-    server = std::make_unique<Clients>(loop, counters, *mixer, 100);
+    server = std::make_unique<HttpServer>(loop, counters, *mixer, 100);
     server->listen({"127.0.0.1", 0});
   }
   ~Fixture() { leafSide->closeAll(); }
   // Gives the mixer a list of all leaf servers; those without an entry in `states` serve.
   void updateLeafList(std::map<int, ServerState> states = {}) {
     LeafList out;
-    out.whole = true;
+    out.fullSnapshot = true;
     for (int k = 0; k < int(leaves.size()); ++k) {
       LeafEntry entry;
       entry.name = "s" + std::to_string(k);
@@ -103,7 +104,7 @@
       if (states.contains(k)) entry.state = states[k];
       out.entries.push_back(entry);
     }
-    mixer->list(out, ListKind::complete);
+    mixer->updateLeafList(out, ListKind::complete);
   }
   void run(Micros span) {
     loop.io.restart();
@@ -117,7 +118,7 @@
   std::vector<FrameLeaf::Part> receivedParts(const std::string& id) const {
     std::vector<FrameLeaf::Part> out;
     for (const auto& leaf : leaves)
-      for (const auto& p : leaf->seen())
+      for (const auto& p : leaf->parts())
         if (p.id.starts_with(id + ".")) out.push_back(p);
     return out;
   }
@@ -125,7 +126,7 @@
   // The shards that answered the first phase, as a part of the second phase names them.
   static std::set<int> firstPhaseShards(const FrameLeaf::Part& p) {
     std::set<int> out;
-    std::istringstream list(p.from);
+    std::istringstream list(p.answeredShards);
     for (std::string one; std::getline(list, one, '+');) out.insert(std::stoi(one));
     return out;
   }
@@ -185,7 +186,7 @@
     query.id = "q" + std::to_string(++ids);
     const auto result = std::make_shared<Result>();
     const Micros began = loop.now();
-    client.ask(query.request(), [this, result, query, began](const HttpMessage& reply) {
+    client.send(query.request(), [this, result, query, began](const HttpMessage& reply) {
       result->ended = true;
       ++result->replies;
       result->status = reply.status;
@@ -203,8 +204,8 @@
     return *result;
   }
   void checkIdle() {  // no query is left open, and none was ended by the last-resort time-out
-    assert(runUntil([&] { return mixer->open() == 0; }));
-    assert(counters.of(Count::defects) == 0 && counters.of(Count::backstops) == 0);
+    assert(runUntil([&] { return mixer->openQueries() == 0; }));
+    assert(counters.value(Counter::defects) == 0 && counters.value(Counter::backstops) == 0);
   }
   // Runs queries so that the mixer learns the latencies of both phases.
   void learnLatencies(const std::string& cls) {
@@ -228,7 +229,7 @@
 FrameLeaf::Script answerAfter(Micros first, Micros second) {
   return [=](const FrameLeaf::Part& p) {
     Reply r;
-    r.after = p.fetch ? second : first;
+    r.delay = p.fetch ? second : first;
     r.score = std::to_string(10 + p.shard);
     r.value = (p.fetch ? "second-" : "first-") + std::to_string(p.shard);
     return r;
@@ -250,7 +251,7 @@
   assert(result.body["phases"][1]["ran"] == "whole");
   for (const auto& p : fixture.receivedParts("q1")) {
     assert(p.text == (p.fetch ? "fetch-it" : "t"));  // each phase has its own text
-    if (p.fetch) assert(p.from == "0+1+2+3" && p.list.find("whole=1") != std::string::npos);
+    if (p.fetch) assert(p.answeredShards == "0+1+2+3" && p.fields.find("whole=1") != std::string::npos);
   }
   fixture.checkIdle();
   // A class without a plan is answered in one phase, without an account.
@@ -258,7 +259,7 @@
   plain.cls = "safe";
   const auto other = fixture.sendAndWait(plain);
   assert(other.status == 200 && !other.body.contains("phases") && other.body["rows"].size() == 4);
-  assert(fixture.counters.of(Count::secondsWhole) == 1);
+  assert(fixture.counters.value(Counter::phasesSecondWhole) == 1);
 }
 
 void pruned() {
@@ -305,7 +306,7 @@
          result.body["exact"] == false);
   assert(result.took < 1000 * kMs);  // when the first phase ends after 0.7 s, not when the time is up
   assert(shardsOf(fixture.receivedParts("q7"), true).empty());
-  assert(fixture.counters.of(Count::secondsSkipped) == 1);
+  assert(fixture.counters.value(Counter::phasesSecondSkipped) == 1);
   fixture.checkIdle();
 }
 
@@ -384,7 +385,7 @@
   Fixture fixture("[{least: 0.5}, {prune: {rule: top, most: 1, at_least: 1}}]",
                   [&](const FrameLeaf::Part& p) {
                     Reply r = answerAfter(5 * kMs, 5 * kMs)(p);
-                    if (!p.fetch && p.shard < silentShards) r.how = Reply::How::nothing;
+                    if (!p.fetch && p.shard < silentShards) r.action = Reply::Action::nothing;
                     return r;
                   });
   HttpQuery query = Fixture::plannedQuery();
@@ -436,7 +437,7 @@
     const auto result = fixture.sendAndWait(query);
     assert(result.status == 400 && result.body["error"] == expected);
   }
-  assert(fixture.leaves[0]->asked + fixture.leaves[1]->asked == 0);
+  assert(fixture.leaves[0]->partsReceived + fixture.leaves[1]->partsReceived == 0);
   fixture.checkIdle();
 }
 
@@ -477,12 +478,12 @@
   std::size_t before = 0;
   const auto result = betweenPhases(fixture, [&] {
     fixture.updateLeafList({{0, ServerState::gone}});
-    before = fixture.leaves[0]->asked;
+    before = fixture.leaves[0]->partsReceived;
   });
   assert(result.status == 200 && result.body["rows"].size() == 4);
   // The removed server only receives parts that were written before.
-  for (const auto& p : fixture.leaves[0]->seen()) assert(!p.fetch);
-  assert(fixture.leaves[0]->asked <= before + 4);
+  for (const auto& p : fixture.leaves[0]->parts()) assert(!p.fetch);
+  assert(fixture.leaves[0]->partsReceived <= before + 4);
   fixture.checkIdle();
 }
 
@@ -491,7 +492,7 @@
   Fixture fixture("[{}, {prune: {rule: top, most: 4}}]", answerAfter(20 * kMs, 5 * kMs));
   const auto result = betweenPhases(fixture, [&] { fixture.updateLeafList({{1, ServerState::draining}}); });
   assert(result.status == 200 && result.body["rows"].size() == 4);
-  for (const auto& p : fixture.leaves[1]->seen()) assert(!p.fetch);
+  for (const auto& p : fixture.leaves[1]->parts()) assert(!p.fetch);
   fixture.checkIdle();
 }
 
@@ -501,13 +502,15 @@
   {
     HttpClient client(fixture.loop, fixture.server->port());
     fixture.send(client, Fixture::plannedQuery());
-    assert(fixture.runUntil([&] { return fixture.leaves[0]->asked + fixture.leaves[1]->asked == 4; }));
+    assert(fixture.runUntil(
+        [&] { return fixture.leaves[0]->partsReceived + fixture.leaves[1]->partsReceived == 4; }));
     client.close();
   }
   fixture.checkIdle();
   fixture.run(200 * kMs);
-  assert(shardsOf(fixture.receivedParts("q1"), true).empty() && fixture.counters.of(Count::clientsGone) == 1);
-  assert(fixture.leaves[0]->cancelled + fixture.leaves[1]->cancelled == 4);
+  assert(shardsOf(fixture.receivedParts("q1"), true).empty() &&
+         fixture.counters.value(Counter::clientsGone) == 1);
+  assert(fixture.leaves[0]->cancelsReceived + fixture.leaves[1]->cancelsReceived == 4);
   // The client disconnects during the second phase.
   {
     HttpClient client(fixture.loop, fixture.server->port());
@@ -517,7 +520,7 @@
   }
   fixture.checkIdle();
   fixture.run(200 * kMs);
-  assert(fixture.leaves[0]->cancelled + fixture.leaves[1]->cancelled == 8);
+  assert(fixture.leaves[0]->cancelsReceived + fixture.leaves[1]->cancelsReceived == 8);
 }
 
 // All parts of the second phase fail. If it may be skipped, the first phase's answer is given at once; if it
@@ -525,7 +528,7 @@
 void fallback() {
   const auto failing = [](const FrameLeaf::Part& p) {
     Reply r = answerAfter(5 * kMs, 5 * kMs)(p);
-    if (p.fetch) r.end = 500;
+    if (p.fetch) r.status = 500;
     return r;
   };
   Fixture fixture("[{}, {prune: {rule: top, most: 2}}]", failing);
@@ -533,7 +536,7 @@
   assert(result.status == 200 && result.body["phases"][1]["ran"] == "failed" &&
          result.body["rows"].size() == 4);
   assert(result.body["exact"] == false && result.took < 1500 * kMs &&
-         fixture.counters.of(Count::secondsFailed) == 1);
+         fixture.counters.value(Counter::phasesSecondFailed) == 1);
   fixture.checkIdle();
   Fixture required("[{}, {prune: {rule: top, most: 2}, skip: false}]", failing);
   const auto none = required.sendAndWait(Fixture::plannedQuery());
@@ -558,10 +561,10 @@
     std::map<int, std::size_t> answeredBy;
     const std::string id = "q" + std::to_string(fixture.ids) + ".";
     for (std::size_t s = 0; s < fixture.leaves.size(); ++s)
-      for (const auto& p : fixture.leaves[s]->seen())
+      for (const auto& p : fixture.leaves[s]->parts())
         if (p.id.starts_with(id) && !p.fetch && p.answered) answeredBy[p.shard] = s;
     for (std::size_t s = 0; s < fixture.leaves.size(); ++s)
-      for (const auto& p : fixture.leaves[s]->seen())
+      for (const auto& p : fixture.leaves[s]->parts())
         if (p.id.starts_with(id) && p.fetch)
           ++total, same += answeredBy.contains(p.shard) && answeredBy[p.shard] == s;
   }
@@ -581,11 +584,11 @@
         Reply r = answerAfter(Micros(draw(60)) * kMs, Micros(draw(60)) * kMs)(p);
         r.score = std::to_string(draw(40));
         const int event = draw(100);
-        if (event < 4) r.end = 500;
-        if (event >= 4 && event < 7) r.end = 503;
-        if (event >= 7 && event < 10) r.how = Reply::How::nothing;
-        if (event == 10 && draw(4) == 0) r.how = Reply::How::reset;
-        if (event > 94) r.after += 400 * kMs;
+        if (event < 4) r.status = 500;
+        if (event >= 4 && event < 7) r.status = 503;
+        if (event >= 7 && event < 10) r.action = Reply::Action::nothing;
+        if (event == 10 && draw(4) == 0) r.action = Reply::Action::reset;
+        if (event > 94) r.delay += 400 * kMs;
         return r;
       },
       600 * kMs, 3);
@@ -594,14 +597,14 @@
   std::vector<std::shared_ptr<Fixture::Result>> results;
   int unanswered = 0, disconnected = 0;
   for (int k = 0; k < kQueries; ++k) {
-    assert(fixture.runUntil([&] { return fixture.mixer->open() < kAtOnce; }));
+    assert(fixture.runUntil([&] { return fixture.mixer->openQueries() < kAtOnce; }));
     clients.push_back(std::make_unique<HttpClient>(fixture.loop, fixture.server->port()));
     HttpQuery query = Fixture::plannedQuery();
     query.cls = k % 2 ? "planned" : "late";
     query.shards.clear();
     for (int shard = 0; shard < kShards; ++shard)
       if (draw(2) || shard < 2) query.shards.push_back(shard);
-    query.seconds = 0.3 + 0.1 * draw(16);
+    query.timeoutSeconds = 0.3 + 0.1 * draw(16);
     query.key = std::to_string(draw(50));
     results.push_back(fixture.send(*clients.back(), query));
     if (draw(40) == 0) {
@@ -623,11 +626,11 @@
   std::printf(
       "disconnected: %d; second phase: %lu complete, %lu cut, %lu skipped, %lu failed; first phase early: "
       "%lu\n",
-      disconnected, (unsigned long)fixture.counters.of(Count::secondsWhole),
-      (unsigned long)fixture.counters.of(Count::secondsCut),
-      (unsigned long)fixture.counters.of(Count::secondsSkipped),
-      (unsigned long)fixture.counters.of(Count::secondsFailed),
-      (unsigned long)fixture.counters.of(Count::firstsEarly));
+      disconnected, (unsigned long)fixture.counters.value(Counter::phasesSecondWhole),
+      (unsigned long)fixture.counters.value(Counter::phasesSecondCut),
+      (unsigned long)fixture.counters.value(Counter::phasesSecondSkipped),
+      (unsigned long)fixture.counters.value(Counter::phasesSecondFailed),
+      (unsigned long)fixture.counters.value(Counter::phasesFirstEarly));
   assert(unanswered == disconnected && statuses[200] > kQueries / 2);
   for (const auto& [status, number] : statuses) assert(status == 200 || status == 503 || status == 504);
   fixture.checkIdle();
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -132,7 +132,7 @@
     std::string_view in = p.in;
     const HttpParser::State state = parser.feed(in);
     p.in.erase(0, p.in.size() - in.size());
-    check(state != HttpParser::State::bad, "malformed HTTP");
+    check(state != HttpParser::State::malformed, "malformed HTTP");
     if (state == HttpParser::State::done) return parser.take();
     check(readMore(p), "the connection ended before a complete message");
   }
@@ -143,7 +143,7 @@
     p.frames.append(p.in);
     p.in.clear();
     const FrameReader::State state = p.frames.next(frame);
-    check(state != FrameReader::State::bad, "malformed frame");
+    check(state != FrameReader::State::malformed, "malformed frame");
     if (state == FrameReader::State::frame) return frame;
     check(readMore(p), "the connection ended before a complete frame");
   }
@@ -311,7 +311,7 @@
     if (what != "request") words >> head;
     if (what == "frame") {
       const Frame frame = readFrame(p);
-      got = frame.letter + std::string(" ") + frame.rest;
+      got = frame.letter + std::string(" ") + frame.content;
     } else if (what == "request") {
       const HttpMessage m = readHttp(p, p.requests);
       got = m.method + " " + m.target;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -141,8 +141,8 @@
     // Parts with the text "broken" always fail, those with the text "slow" take 400 ms.
     const auto script = [](const FrameLeaf::Part& p) {
       FrameLeaf::Reply out;
-      out.after = p.text == "slow" ? 400 * kMs : 2 * kMs;
-      if (p.text == "broken") out.end = 500;
+      out.delay = p.text == "slow" ? 400 * kMs : 2 * kMs;
+      if (p.text == "broken") out.status = 500;
       return out;
     };
     for (int k = 0; k < 2; ++k) leaves.push_back(std::make_unique<FrameLeaf>(loop, script));
@@ -221,7 +221,7 @@
   }
   std::uint64_t receivedParts() const {
     std::uint64_t out = 0;
-    for (const auto& leaf : leaves) out += leaf->asked;
+    for (const auto& leaf : leaves) out += leaf->partsReceived;
     return out;
   }
 };
@@ -246,17 +246,17 @@
       if (running && !c.waiting) ask(c);
   }
   void ask(Client& c) {
-    if (!c.connection || connectEachTime || c.connection->ended())
+    if (!c.connection || connectEachTime || c.connection->closedByPeer())
       c.connection = std::make_unique<HttpClient>(testBed.loop, testBed.port);
     HttpQuery q;
     q.id = "q" + std::to_string(++sent);
     q.cls = sent % 3 == 0 ? "once" : "plain";
-    q.seconds = 2;
+    q.timeoutSeconds = 2;
     q.text = sent % 50 == 7 || sent % 50 == 9 ? "broken" : "t";
     q.shards = {sent % 8, (sent + 1) % 8};
     if (sent % 70 == 11) q.shards = {99};  // no such shard: rejected
     c.waiting = true;
-    c.connection->ask(q.request(), [this, &c, cls = q.cls](const HttpMessage& reply) {
+    c.connection->send(q.request(), [this, &c, cls = q.cls](const HttpMessage& reply) {
       ++answers[cls][reply.status];
       ++answered;
       c.waiting = false;
@@ -466,12 +466,12 @@
   // to drain.
   std::vector<std::unique_ptr<HttpClient>> idle;
   HttpQuery q;
-  q.cls = "plain", q.seconds = 2;
+  q.cls = "plain", q.timeoutSeconds = 2;
   int answered = 0;
   for (int k = 0; k < 5; ++k) {
     q.id = "i" + std::to_string(k);
     idle.push_back(std::make_unique<HttpClient>(bed.loop, bed.port));
-    idle.back()->ask(q.request(), [&](const HttpMessage& m) { answered += m.status == 200; });
+    idle.back()->send(q.request(), [&](const HttpMessage& m) { answered += m.status == 200; });
   }
   load.runUntil([&] { return answered == 5; }, "answers of the idle clients");
   const int writer = connectTo(bed.port), fresh = connectTo(bed.port);
@@ -494,7 +494,7 @@
   check(old.status == 0, "status " + std::to_string(old.status));
   for (const int fd : {writer, fresh})
     check(readAll(fd).starts_with("HTTP/1.1 200"), "no answer with status 200");
-  for (const auto& c : idle) check(c->ended(), "an idle connection was not closed");
+  for (const auto& c : idle) check(c->closedByPeer(), "an idle connection was not closed");
   load.awaitAnswers(50);
   load.finish();
   const Json now = vars(next.admin);
@@ -677,9 +677,9 @@
   const auto ask = [&](const std::string& id, const std::string& name, const std::string& text,
                        const std::string& key = "") {
     HttpQuery q;
-    q.id = id, q.cls = name, q.text = text, q.seconds = 2, q.idempotencyKey = key;
+    q.id = id, q.cls = name, q.text = text, q.timeoutSeconds = 2, q.idempotencyKey = key;
     clients.push_back(std::make_unique<HttpClient>(bed.loop, bed.port));
-    clients.back()->ask(q.request(), [&status, id](const HttpMessage& m) { status[id] = m.status; });
+    clients.back()->send(q.request(), [&status, id](const HttpMessage& m) { status[id] = m.status; });
   };
   const auto answered = [&](const std::string& id, int wanted) {
     bed.waitUntil([&] { return status.contains(id); }, "an answer to " + id);
@@ -688,7 +688,7 @@
   const auto attemptsOf = [&](const std::string& id) {
     int out = 0;
     for (const auto& leaf : bed.leaves)
-      for (const auto& part : leaf->seen()) out += part.id.starts_with(id + ".");
+      for (const auto& part : leaf->parts()) out += part.id.starts_with(id + ".");
     return out;
   };
   // Two identical reloads while requests of the initial classes are open: `once` is removed, `fresh` is added
