--- a/tests/aggregator_test.cpp
+++ b/tests/aggregator_test.cpp
@@ -35,7 +35,7 @@
   EXPECT_GT(used.size(), 2u);
 }
 
-TEST(Design, HomeIsLeftWhenItHoldsFarMoreThanTheShardsMean) {
+TEST(Design, AnotherServerIsUsedWhenTheLoadOfTheHomeIsFarAboveTheMean) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
   for (int k = 0; k < 8; ++k) rig.query(1, 0, 4000 * ms, "hot");
@@ -45,7 +45,7 @@
   EXPECT_GE(count[rig.sends.front().server], 2);
 }
 
-TEST(Design, NoCopyBeforeTheBucketHoldsAToken) {
+TEST(Design, NoHedgeBeforeTheBucketHoldsAToken) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
   rig.query(1);
@@ -53,7 +53,7 @@
   EXPECT_EQ(rig.sends.size(), 1u);
 }
 
-TEST(Design, ALatePartGetsOneCopyOnAnotherReplicaAndTheTwinIsCancelled) {
+TEST(Design, ALatePartIsHedgedOnceAtAnotherReplicaAndTheSlowerAttemptIsCancelled) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warmUp(20, 50 * ms);
@@ -70,7 +70,7 @@
   EXPECT_TRUE(rig.answers.back().complete);
 }
 
-TEST(Design, AFailedPartIsSentAgainElsewhereThroughTheBucket) {
+TEST(Design, AFailedPartIsRetriedAtAnotherServer) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warmUp(20, 50 * ms);
@@ -81,7 +81,7 @@
   EXPECT_NE(rig.sends[before].server, rig.sends[before + 1].server);
 }
 
-TEST(Design, CopiesStayNearATenthOfThePartsEvenWhenAllAreLate) {
+TEST(Design, HedgesStayNearATenthOfThePartsEvenWhenAllAreLate) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warmUp(20, 20 * ms);
@@ -97,7 +97,7 @@
 
 // ---- Rule 1: each query gets one final answer ----
 
-TEST(Rules, EveryQueryEndsOnceBeforeItsTimeAndNothingIsSentAfter) {
+TEST(Rules, EveryQueryEndsOnceBeforeItsDeadlineAndNothingIsSentAfterwards) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(2));
   rig.query(3, 0, 2000 * ms);
@@ -109,14 +109,14 @@
   EXPECT_EQ(rig.sends.size(), sent);
 }
 
-TEST(Rules, WithNoServerKnownAQueryIsGivenUpAtOnce) {
+TEST(Rules, WithNoServerKnownAQueryIsRefusedAtOnce) {
   AggregatorRig rig(plainSettings());
   rig.query(2);
   EXPECT_EQ(rig.finalAnswers(), 1u);
   EXPECT_TRUE(rig.sends.empty());
 }
 
-TEST(Rules, ALateOutcomeAndAHangupOfAnEndedQueryAreIgnored) {
+TEST(Rules, OutcomesAndDisconnectsAfterTheEndOfAQueryAreIgnored) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(2));
   const std::string id = rig.query(1);
@@ -127,7 +127,7 @@
   EXPECT_EQ(rig.finalAnswers(), 1u);
 }
 
-TEST(Rules, AHangupEndsTheQueryWithoutAnAnswer) {
+TEST(Rules, AClientDisconnectEndsTheQueryWithoutAnAnswer) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(2));
   rig.step({QueryCancelled{rig.query(2)}});
@@ -182,7 +182,7 @@
 INSTANTIATE_TEST_SUITE_P(Rules, NeverRan,
                          testing::Values(Outcome::busy, Outcome::connectFailed, Outcome::skipped));
 
-TEST(Rules, AnUnsafeLatePartGetsNoCopy) {
+TEST(Rules, AnUnsafeLatePartIsNotHedged) {
   Settings set = plainSettings();
   set.classes[0].effect = Effect::unsafe;
   AggregatorRig rig(set);
@@ -213,7 +213,7 @@
 
 // ---- Rule 3: draining servers receive no new parts ----
 
-TEST(Rules, NothingGoesToADrainingOrGoneServer) {
+TEST(Rules, NothingIsSentToADrainingOrRemovedServer) {
   for (const ServerState state : {ServerState::draining, ServerState::gone}) {
     AggregatorRig rig(plainSettings());
     rig.servers(fleet(3));
@@ -224,7 +224,7 @@
   }
 }
 
-TEST(Rules, AServerThatACompleteListOmitsIsGone) {
+TEST(Rules, AServerThatAFullListOmitsIsRemoved) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
   rig.servers(fleet(1));
@@ -299,7 +299,7 @@
   return set;
 }
 
-TEST(Rules, NoAnswerBelowTheFloorAndNoneMarkedWholeThatIsNot) {
+TEST(Rules, NoAnswerBelowTheMinimumShareAndNoPartialOneIsMarkedComplete) {
   for (const int doneParts : {1, 2}) {
     AggregatorRig rig(partialSettings());
     rig.servers(fleet(3));
@@ -329,7 +329,7 @@
   EXPECT_EQ(rig.answers.size(), answers);
 }
 
-TEST(Rules, ASecondAnswerIsWholeOnlyIfTheFirstWas) {
+TEST(Rules, ASecondAnswerIsCompleteOnlyIfTheFirstWas) {
   for (const bool first : {true, false}) {
     Settings set = partialSettings();
     set.classes[0].secondStepParts = 1;
@@ -364,7 +364,7 @@
 
 // ---- Rule 6: the budget limits attempts ----
 
-TEST(Rules, FurtherAttemptsStayWithinTheBudgetWhereOneIsTold) {
+TEST(Rules, FurtherAttemptsStayWithinTheBudgetWhereOneIsSet) {
   for (const bool limited : {true, false}) {
     Settings set = plainSettings();
     if (limited) set.budget = AttemptBudget{1.0, 0.0, 2000 * ms};
@@ -393,7 +393,7 @@
   EXPECT_NE(rig.sends[2].part, rig.sends[1].part);
 }
 
-TEST(Rules, MaxAttemptsAndForbiddenCopiesAndCancelsHold) {
+TEST(Rules, LimitsOnAttemptsHedgesAndCancelsAreObserved) {
   Settings set = plainSettings();
   set.mayHedge = set.mayCancel = false;
   AggregatorRig rig(set);
@@ -430,7 +430,7 @@
   return atSilent;
 }
 
-TEST(Health, ASilentServerLosesFirstSendsAndIsTriedByAPartThatCanBeSentAgain) {
+TEST(Health, ASilentServerIsEjectedAndProbedWithAPartThatCanBeSentAgain) {
   // Guards against capacity that is lost for good because an ejected server is never probed, as after hangs,
   // silence or flapping.
   AggregatorRig rig(plainSettings());
@@ -462,7 +462,7 @@
   EXPECT_TRUE(probed);
 }
 
-TEST(Health, AServerThatRefusesWhatComesAndServesNothingIsSilent) {
+TEST(Health, AServerThatOnlyRejectsPartsCountsAsSilent) {
   // Guards against taking the busy responses of an overloaded or hung server for a sign of health.
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
@@ -500,7 +500,7 @@
   EXPECT_GT(refused, 1u);
   return resent;
 }
-TEST(Health, WhatAFewServersRefuseIsSentElsewhereWithoutATokenButNotWhereManyRefuse) {
+TEST(Health, RejectedPartsAreRetriedWithoutATokenOnlyWhileFewServersReject) {
   // Guards against parts that wait for a token after a rejection by an overloaded or hung server. In a burst
   // that many servers reject, resending would add load; it then needs a token.
   EXPECT_GE(resentAfterRefusals(1), 1u);
@@ -529,7 +529,7 @@
   return sentToZoneOne;
 }
 
-TEST(Paths, TheWayToAZoneIsLeftWhenMostThereIsLateThoughNoServerHasShownItTwice) {
+TEST(ZoneRoutes, ARouteIsEjectedWhenMostAttemptsAreLateThoughNoServerWasLateTwice) {
   // Guards against judging each server of a lost zone, or behind a slow, cut or lossy link, on its own: that
   // costs late parts at each of them.
   AggregatorRig rig(plainSettings());
@@ -539,7 +539,7 @@
   EXPECT_LE(withZoneOneLost(rig, 10), 3u);  // probes only
 }
 
-TEST(Paths, TheWayIsTakenAgainAfterATrialThatWasAnsweredInTime) {
+TEST(ZoneRoutes, ARouteIsReinstatedAfterAProbeThatIsAnsweredInTime) {
   AggregatorRig rig(plainSettings());
   rig.servers(twoZones());
   rig.warmUp(40, 30 * ms);
@@ -556,7 +556,7 @@
   EXPECT_GT(sentToZoneOne, 5u);
 }
 
-TEST(Paths, WhatIsLateEverywhereDoubtsNoWay) {
+TEST(ZoneRoutes, NoRouteIsEjectedWhenAllAreLate) {
   AggregatorRig rig(plainSettings());
   rig.servers(twoZones());
   rig.warmUp(40, 30 * ms);
@@ -567,7 +567,7 @@
 
 // ---- Suspects: whether the server, the connection or the query caused a failed attempt ----
 
-TEST(Suspects, AResetAfterIdlenessDoubtsNoServerButTheSameOnABusyConnectionDoes) {
+TEST(Suspects, AResetEjectsTheServerOnlyIfTheConnectionWasInUse) {
   // Guards against ejecting servers throughout the fleet when a middlebox silently drops idle connections.
   for (const Micros pause : {3000 * ms, 50 * ms}) {
     AggregatorRig rig(plainSettings());
@@ -583,7 +583,7 @@
   }
 }
 
-TEST(Health, WhileAllServersStandStillNoCopyIsSentForATime) {
+TEST(Health, NoHedgesDuringAStallOfTheFleet) {
   // Guards against hedges for answers that are only delayed, when the network or this machine has stalled.
   for (const bool stalled : {true, false}) {
     AggregatorRig rig(plainSettings());
@@ -621,7 +621,7 @@
   }
 }
 
-TEST(Ends, WithVeryManyOpenEachIsEndedAheadOfItsDeadline) {
+TEST(Sweeps, WithManyOpenQueriesEachIsEndedAheadOfItsDeadline) {
   // Guards against sweeps that become so rare with many open queries that these miss their deadline, and the
   // host has to end them.
   AggregatorRig rig(plainSettings());
@@ -644,7 +644,7 @@
   EXPECT_EQ(rig.refusals.size(), 1600u);
 }
 
-TEST(Health, APartThatGetsLateAsAllStandsStillHasNoCopyUntilAnswersFlowAgain) {
+TEST(Health, APartThatBecomesLateInAStallIsNotHedgedUntilAnswersAreSteadyAgain) {
   // Guards against a hedge that is sent during a stall: it waits unread at the server, and the delayed answer
   // of the first attempt arrives before it can help.
   AggregatorRig rig(plainSettings());
@@ -676,7 +676,7 @@
   EXPECT_GT(hedges(), 0);
 }
 
-TEST(Suspects, WhereServersOutliveTheirConnectionsTheFirstResetDoubtsNobody) {
+TEST(Suspects, AFirstResetDoesNotEjectWhereServersSurviveResets) {
   // Guards against ejecting most servers at once where connections break under requests although the servers
   // are healthy.
   AggregatorRig rig(plainSettings());
@@ -714,7 +714,7 @@
   EXPECT_GT(serveOthers(rig, server, 20), 0u);
 }
 
-TEST(Suspects, WhatIsSilentOnAnIdleConnectionIsSentAgainAndSeveralCloseIdleOnesBeforeUse) {
+TEST(Suspects, PartsLostOnIdleConnectionsAreSentAgainAndSeveralSuchLossesCloseIdleConnections) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(4));
   rig.warmUp(40, 50 * ms);
@@ -753,7 +753,7 @@
     EXPECT_TRUE(silentServers.contains(rig.closes[k].server));
 }
 
-TEST(Suspects, AQueryThatResetsEachServerItMeetsGetsOneMoreAttemptAndIsGivenUp) {
+TEST(Suspects, AQueryWhoseAttemptsAreAllResetGetsOneMoreAttemptAndIsAbandoned) {
   // Guards against hedges and retries that carry a poison query, one that crashes its servers, to every
   // holder of its shards. A server that hangs until its connections are reset looks the same.
   Settings set = plainSettings();
@@ -773,7 +773,7 @@
   EXPECT_EQ(rig.sends.size(), before + 5);
 }
 
-TEST(Suspects, QueriesCaughtInALostZoneAreServedAfterAll) {
+TEST(Suspects, QueriesWithPartsInALostZoneAreServed) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(9));
   rig.warmUp(60, 50 * ms);
@@ -788,7 +788,7 @@
   EXPECT_EQ(rig.answers.back().query, id);
 }
 
-TEST(Suspects, WhereResetsAreCommonARepeatedQueryBeginsWithOnePartAlone) {
+TEST(Suspects, WhereResetsAreCommonARepeatedQueryStartsWithASinglePart) {
   // Guards against clients that carry a poison query to another instance. Harmless repeated queries are
   // delayed by the time of one part.
   for (const bool common : {false, true})
@@ -809,7 +809,7 @@
     }
 }
 
-TEST(Suspects, AMarkedLaterTryHasItsAimFromTheFirstAndAShortFirstTryHasItsOwn) {
+TEST(Suspects, TheAimOfARepeatedQueryCountsFromTheFirstTryAndOnlyIfMarked) {
   // The aim of a repeated query counts from the first try. A query with little time left counts as repeated
   // only if it is marked: its client may just be impatient.
   for (const bool repeated : {false, true}) {
@@ -821,7 +821,7 @@
   }
 }
 
-TEST(Health, TheLastHolderIsNeverDropped) {
+TEST(Health, TheLastHolderOfAShardIsUsedEvenIfEjected) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(1));
   for (int k = 0; k < 5; ++k) {
@@ -833,7 +833,7 @@
   EXPECT_EQ(rig.sends.size(), before + 1);
 }
 
-TEST(Health, ASlownessCommonToAllEjectsNobody) {
+TEST(Health, ASlowdownOfAllServersEjectsNone) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(4));
   rig.warmUp(40, 50 * ms);
@@ -848,7 +848,7 @@
   EXPECT_EQ(used.size(), 4u) << rig.refusals.size() << " refused";
 }
 
-TEST(Health, AServerThatRefusesFastIsLeftThoughItLooksIdle) {
+TEST(Health, AServerThatRejectsQuicklyIsAvoidedThoughItLooksIdle) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
   rig.warmUp(60, 20 * ms);
@@ -866,7 +866,7 @@
   EXPECT_LE(laterSends, 2);
 }
 
-TEST(Health, AFailedPartIsReplacedFromAnEmptyBucketButARefusedOneIsNot) {
+TEST(Health, AFailedPartIsRetriedWithoutATokenButARejectedOneIsNot) {
   // Guards against servers that fail part of their work quickly: failed parts would wait for tokens until
   // their aim.
   for (const Outcome outcome : {Outcome::error, Outcome::reset, Outcome::busy}) {
@@ -878,7 +878,7 @@
   }
 }
 
-TEST(Health, AHomeThatAnswersSlowlyIsLeftAfterFewLatenciesAndAskedAgainWhenTheseAreOld) {
+TEST(Health, ASlowHomeServerIsAvoidedAfterFewSamplesAndUsedAgainWhenTheseAreOld) {
   // Guards against home servers that are slow for this front node alone, and answer it only once in ten
   // seconds, so that it has few latencies of each. The cause may be the machine, its neighbours or the link.
   Settings set = plainSettings();
@@ -907,7 +907,7 @@
   EXPECT_EQ(rig.sends.back().server, slow);
 }
 
-TEST(Admission, AClientWithLittleTimeIsNoSignOfPressure) {
+TEST(Admission, AClientWithLittleTimeIsNoSignOfOverload) {
   // Guards against refusing clients with little time left although the fleet is healthy. Queries that cannot
   // be answered in time are still refused.
   AggregatorRig rig(plainSettings());
@@ -920,7 +920,7 @@
   EXPECT_EQ(rig.refusals.size(), 1u);
 }
 
-TEST(Admission, AQueryThatCannotBeWholeForOneJammedShardIsRefusedAndAsksNoOther) {
+TEST(Admission, AQueryThatLacksOneOverloadedShardIsRefusedAndSendsNoParts) {
   // Guards against work for queries that will lack one part: its shard is hot, or its holders are overloaded
   // or lost.
   Settings set = plainSettings();
@@ -943,7 +943,7 @@
   EXPECT_EQ(rig.sends.size(), before + 1);
 }
 
-TEST(Rules, WhatIsGivenUpIsAnsweredAtOnceWithTheLongestHintThatClientsHeed) {
+TEST(Rules, AbandonedQueriesAreRefusedAtOnceWithTheLongestRetryHint) {
   // Guards against repeats of queries that would be refused again. The hint does not delay the refusal
   // itself.
   Settings set = plainSettings();
@@ -956,7 +956,7 @@
   EXPECT_EQ(rig.refusals[0].retryAfter, set.maxRetryAfter);
 }
 
-TEST(Health, TheLastAttemptIsNotBurntAtOnceWhereEveryHolderFails) {
+TEST(Health, TheLastAttemptIsDelayedWhereEveryHolderFails) {
   // Guards against spending all attempts of a part within milliseconds on servers that fail part of their
   // work, reject it, or flap.
   AggregatorRig rig(plainSettings());
@@ -974,7 +974,7 @@
 
 // ---- Latency: the hedge delay ----
 
-TEST(Latency, ACopyGoesAtTheLastMomentAtWhichItCanBeInTime) {
+TEST(Latency, AHedgeIsSentAtTheLastMomentAtWhichItCanBeInTime) {
   // Guards against a hedge delay that exceeds the time that a client with a short deadline has left.
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
@@ -989,7 +989,7 @@
   EXPECT_EQ(rig.sends.size(), before + 2) << rig.refusals.size();
 }
 
-TEST(Suspects, ALateAnswerClearsTheConnectionThatLookedDead) {
+TEST(Suspects, ALateAnswerRestoresTrustInTheIdleConnection) {
   // Guards against closing open connections on a slow route, where each new one costs several round trips.
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
@@ -1019,7 +1019,7 @@
   EXPECT_EQ(rig.closes.size(), closesBefore);
 }
 
-TEST(Latency, TheDelayFollowsASlownessOfAllAtOnce) {
+TEST(Latency, TheHedgeDelayFollowsASlowdownOfAllServers) {
   // Guards against a storm of hedges when all parts become slower: after a few slow parts, 300 ms is no
   // longer late, although the long window still holds a thousand fast samples.
   AggregatorRig rig(plainSettings());
@@ -1078,7 +1078,7 @@
   EXPECT_LE(*rig.refusals[0].retryAfter, 500 * ms);
 }
 
-TEST(Admission, AQueryGivenUpGetsItsFinalAnswerAtOnce) {
+TEST(Admission, AnAbandonedQueryGetsItsFinalAnswerAtOnce) {
   Settings set = plainSettings();
   set.classes[0].lateShare = 0.0;  // an answer after the aim is worth nothing
   AggregatorRig rig(set);
@@ -1101,7 +1101,7 @@
   }
 }
 
-TEST(Admission, NoCopyThatIsExpectedOnlyAfterTheAim) {
+TEST(Admission, NoHedgeThatIsExpectedOnlyAfterTheAim) {
   // Guards against hedges that in a burst only add load to overloaded servers.
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(3));
@@ -1114,7 +1114,7 @@
 
 // ---- Determinism ----
 
-TEST(Brain, TheSameEventsGiveTheSameActions) {
+TEST(Determinism, TheSameEventsGiveTheSameActions) {
   const auto run = [] {
     AggregatorRig rig(plainSettings());
     rig.servers(fleet(4));
@@ -1131,7 +1131,7 @@
 // Rejected parts waste the work for the other parts of their query. An instance of a large fleet sees few of
 // them, but must admit fewer queries while servers reject parts, and all queries soon afterwards. An instance
 // of a small fleet must not react to the same few rejections.
-TEST(Admission, WhileServersTurnPartsAwayALargeFleetLetsInFewerQueriesAndAllOfThemAfterwards) {
+TEST(Admission, WhileServersRejectPartsALargeFleetAdmitsFewerQueriesAndAllOfThemAfterwards) {
   for (const int instances : {300, 1}) {
     Settings set = plainSettings();
     set.instances = instances;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -29,7 +29,7 @@
   EXPECT_EQ(host.answer(R"({"moment":1.25,"items":[]})"), R"({"steps":[]})");
 }
 
-TEST(Codec, AQueryIsSentAndAnsweredOnTheWire) {
+TEST(Codec, AQueryIsSentAndAnswered) {
   Host host;
   host.answer(kStart);
   const std::string sent = host.answer(kQuery);
@@ -42,7 +42,7 @@
   EXPECT_TRUE(contains(answered, R"("Conclude":{"full":true,"i":0,"tid":"c:q"})")) << answered;
 }
 
-TEST(Codec, IdleConnectionsAreClosedOnTheWireBeforeTheNextSend) {
+TEST(Codec, IdleConnectionsAreClosedBeforeTheNextSend) {
   // After a reset of a connection that had been idle, the next send to its server uses a new one.
   Host host;
   host.answer(kStart);
@@ -80,7 +80,7 @@
   EXPECT_EQ(one.size(), two.size());
 }
 
-TEST(Codec, ARetiredInstanceKnowsNothingAfterItsNextStart) {
+TEST(Codec, ARetiredInstanceStartsAgainWithoutState) {
   Host host;
   host.answer(kStart);
   host.answer(kQuery);
@@ -91,7 +91,7 @@
       contains(host.answer(R"({"moment":5000.0,"items":[{"Wakeup":{"i":0,"nonce":"look"}}]})"), "c:q"));
 }
 
-TEST(Codec, MalformedInputIsNamed) {
+TEST(Codec, ErrorsDescribeTheMalformedInput) {
   const std::pair<std::string, std::string> cases[] = {
       {"{", "not JSON"},
       {"[]", "not an object"},
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -30,7 +30,7 @@
 const std::string kEmptyBatch = "{\"moment\":1.0,\"items\":[]}\n";
 
 class Malformed : public testing::TestWithParam<const char*> {};
-TEST_P(Malformed, EndsWithOneLineOnStandardErrorAndNothingHalfWritten) {
+TEST_P(Malformed, EndsWithOneErrorLineAndNoPartialReply) {
   const std::string input = kEmptyBatch + GetParam() + "\n" + kEmptyBatch;
   const ProgramRun out = runProgram(input, false), errors = runProgram(input, true);
   EXPECT_EQ(out.out, "{\"steps\":[]}\n");
