--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -11,7 +11,7 @@
 #include "calls.hpp"
 #include "core/loop.hpp"
 #include "core/settings.hpp"
-#include "core/slots.hpp"
+#include "core/slot_table.hpp"
 
 namespace cometdeal::net {
 
@@ -54,7 +54,7 @@
   int maxConnections_;
   Reply reply_;
   tcp::acceptor acceptor_;
-  Slots<Connection> connections_;
+  SharedSlotTable<Connection> connections_;
 };
 
 }  // namespace cometdeal::net
