--- a/src/core/interfaces.hpp
+++ b/src/core/interfaces.hpp
@@ -39,8 +39,8 @@
 struct Row {  // the answer to one part
   int shard = 0;
   std::string value;
-  std::shared_ptr<MessageReader>
-      reply;  // in place of `value` if the answer is streamed; may be incomplete yet
+  // In place of `value` if the answer is streamed; may be incomplete yet.
+  std::shared_ptr<MessageReader> reply;
 };
 struct FinalAnswer {
   enum class Kind { served, refused, failed };
@@ -73,8 +73,8 @@
   long double score = 0;            // represents every 64-bit integer exactly
   std::optional<LoadReport> load;
   std::string value;
-  std::shared_ptr<MessageReader>
-      reply;  // in place of `value` if the answer is streamed; may be incomplete yet
+  // In place of `value` if the answer is streamed; may be incomplete yet.
+  std::shared_ptr<MessageReader> reply;
 };
 
 // Sends parts to leaf servers and reports how the attempts end.
--- a/src/core/message_stream.hpp
+++ b/src/core/message_stream.hpp
@@ -58,9 +58,8 @@
   State state() const { return state_; }
   const Fields& trailers() const { return trailers_; }
   std::uint64_t endOffset() const { return startOffset_ + buffered(); }
-  std::uint64_t startOffset() const {
-    return startOffset_;
-  }                                                      // offset of the first byte that is still buffered
+  // The offset of the first byte that is still buffered.
+  std::uint64_t startOffset() const { return startOffset_; }
   bool replayable() const { return startOffset_ == 0; }  // nothing discarded: can be read from the beginning
   // The buffered bytes from `offset` on; empty if none have arrived yet or that offset was discarded.
   std::string_view readFrom(std::uint64_t offset) const {
--- a/src/front/http/server.cpp
+++ b/src/front/http/server.cpp
@@ -528,8 +528,8 @@
 
 // Writes the response to the current request, then goes on with the next request or ends the connection.
 void HttpServer::respond(Connection& c, const std::string& response) {
-  const std::shared_ptr<Connection> guard =
-      connections_.getShared(c.self);  // a failed write ends the connection
+  // A failed write ends the connection.
+  const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   c.awaitingAnswer = false;
   c.query = {};
   c.closing = !c.keepAlive;
@@ -546,8 +546,8 @@
 void HttpServer::resumeInput(Connection& c) {
   if (c.closed || c.closing || c.input.empty()) return;
   boost::asio::post(loop_.strand, [this, h = c.self] {
-    const std::shared_ptr<Connection> shared =
-        connections_.getShared(h);  // processing may end the connection
+    // Processing may end the connection.
+    const std::shared_ptr<Connection> shared = connections_.getShared(h);
     if (!shared) return;
     processInput(*shared);
     startReading(*shared);
--- a/src/http2/session.hpp
+++ b/src/http2/session.hpp
@@ -49,8 +49,8 @@
 // What this end allows the other end.
 struct Limits {
   int maxConcurrentStreams = 100;  // concurrent streams that the other end may open
-  std::int32_t streamWindowBytes =
-      64 * 1024;                            // bytes of one body that may arrive before consumed() is called
+  // Bytes of one body that may arrive before consumed() is called.
+  std::int32_t streamWindowBytes = 64 * 1024;
   std::int32_t connectionWindow = 1 << 20;  // bytes of all bodies that may be in flight on the connection
   // Bytes of one list of header or trailer fields: names and values, plus 32 for each field.
   std::size_t maxFieldsBytes = 16UL * 1024;
--- a/src/phases/plan.hpp
+++ b/src/phases/plan.hpp
@@ -39,8 +39,8 @@
 struct Phase {
   std::string text;            // request text of its parts; empty: the query's own text
   double completeShare = 1.0;  // with this share answered the phase is complete
-  double minimumShare =
-      1.0;  // below it the query neither continues with the next phase nor answers from this one
+  // Below it the query neither continues with the next phase nor answers from this one.
+  double minimumShare = 1.0;
   double timeShare = 0.5;  // share of the query's time, used as long as no latencies have been learned
   PruneSettings prune;     // for the second phase: selects its shards
   bool maySkip = true;     // for the second phase: the answer may come from the first phase instead
--- a/src/standin/frame_leaf.hpp
+++ b/src/standin/frame_leaf.hpp
@@ -29,10 +29,10 @@
     bool answered = false;
   };
   struct Reply {                                                         // what to do with a part
-    enum class Action : std::uint8_t { answer, nothing, close, reset };  // cut and reset close the connection
+    enum class Action : std::uint8_t { answer, nothing, close, reset };  // close and reset end the connection
     Action action = Action::answer;
-    Micros delay = 0;  // delay
-    int status = 200;  // status
+    Micros delay = 0;
+    int status = 200;
     std::string score = "0", loadReport = "-", value = "v";
   };
   using Script = std::function<Reply(const Part&)>;
--- a/src/standin/grpc_client.hpp
+++ b/src/standin/grpc_client.hpp
@@ -44,9 +44,8 @@
   void sendBody(const ResultPtr& result, std::string_view body);
   void finishRequest(const ResultPtr& result);
   void cancel(const ResultPtr& result);
-  void holdWindow() {
-    holding_ = true;
-  }                      // from now on data is read, but its flow control window is not freed
+  // From now on data is read, but its flow control window is not freed.
+  void holdWindow() { holding_ = true; }
   void releaseWindow();  // frees it, and no longer withholds it
 
   std::function<void(const ResultPtr& result)> onEnd;  // the call has ended
