--- a/include/cometdeal/aggregator.hpp
+++ b/include/cometdeal/aggregator.hpp
@@ -22,26 +22,30 @@
 enum class ServerState { serving, draining, gone };
 // What discovery delivered: the list as saved before a restart, the full list, changes of it, or nothing.
 enum class ListKind { restored, complete, changes, unavailable };
-// How an attempt ended. `busy`: rejected by the server without running it; `skipped`: never sent.
+// How an attempt ended. `done`: the server has answered the part; `error`: it has failed to; `busy`: it has
+// rejected the part without running it; `skipped`: never sent.
 enum class Outcome { done, error, busy, timedOut, connectFailed, reset, cancelled, skipped };
 
 // Settings of a class of queries.
 struct ClassSettings {
-  Micros aim = 0;
-  Micros deadline = 0;
-  double worth = 1.0;
+  Micros aim = 0;          // latency target, from the arrival of the query
+  Micros deadline = 0;     // latest time for the final answer, from the arrival of the query
+  double worth = 1.0;      // value of a complete answer within the aim, relative to the other classes
   double lateShare = 0.0;  // share of the worth that an answer after the aim earns
   Effect effect = Effect::safe;
-  std::optional<Micros> repeatWindow;  // keyed classes: how long the servers recognise and drop repeats
+  std::optional<Micros> repeatWindow;  // keyed classes: how long the servers recognize and drop repeats
   double requiredShare = 1.0;          // share of the first step's weight that makes a complete answer
   double minimumShare = 1.0;           // minimum share for a partial answer
-  double partialFactor = 0.0;  // worth of a partial answer: worth x partialFactor x share / requiredShare
-  int secondStepParts = 0;     // parts of the second step; 0: one step only
+  // Worth of a partial answer: worth x partialFactor x share / requiredShare. Not used by the decision
+  // module.
+  double partialFactor = 0.0;
+  int secondStepParts = 0;  // maximum number of parts of the second step; 0: one step only
   bool operator==(const ClassSettings&) const = default;
 };
 
 struct TenantSettings {
-  std::optional<double> allowancePerSecond;  // queries a second within its share, over all instances
+  // Queries per second that its share allows, summed over all instances; absent: unlimited.
+  std::optional<double> allowancePerSecond;
 };
 
 // How a server that has just started gains capacity, and what overloads it.
@@ -73,18 +77,18 @@
   bool mayHedge = false;          // whether a part may have two live attempts (hedging)
   bool mustAskDiscovery = false;  // whether discovery reports only after Subscribe
   std::optional<int> maxAttempts;
-  std::optional<int> maxOpen;           // maximum of open queries and parts
+  std::optional<int> maxOpen;           // maximum number of open queries and parts; enforced by the host
   std::optional<Micros> maxRetryAfter;  // longest retry hint that clients follow; absent: they receive none
-  std::optional<Micros> askWithin;      // while not subscribed, discovery must be asked again within this
+  std::optional<Micros> askWithin;      // maximum time between Subscribe actions until a list arrives
   std::optional<Micros> connectionIdleTimeout;  // connections that are idle for longer close by themselves
   std::optional<ColdRule> cold;
   std::optional<AttemptBudget> budget;
 };
 
-// Load of a server, as reported with a response.
+// Load of a server, as reported with a response. Not used by the decision module at present.
 struct LoadReport {
-  std::optional<double> active;   // requests in the server
-  std::optional<double> waiting;  // those of them that are queued
+  std::optional<double> active;   // requests that the server is running or has queued
+  std::optional<double> waiting;  // those of them that it has queued
 };
 
 struct ServerEntry {
@@ -100,8 +104,9 @@
   ListKind kind = ListKind::complete;
   std::vector<ServerEntry> entries;
 };
-// Terms of a step that the host ends, by StepBegan or QueryCancelled. For such a query the module's Answer
-// only notifies the host that nothing more comes of the current step.
+// Terms of a step of a query whose steps the host ends, by StepBegan or QueryCancelled. For these queries,
+// Answer does not end the step: it reports that no further part of the step will be answered, or that the
+// deadline is near.
 struct StepTerms {
   Micros timeLimit = 0;        // time limit of the step, hedges included
   double minimumWeight = 1.0;  // minimum weight for an answer from this step
@@ -136,30 +141,34 @@
   int attempt = 0;  // index of the attempt of this part, from 0 in order of its Send actions
   Outcome outcome = Outcome::done;
   std::string server;
-  Micros elapsed = 0;
+  Micros elapsed = 0;  // since the attempt was sent, as measured by the host; not used by the decision module
   std::optional<LoadReport> load;
 };
 // The client has disconnected, or the host has ended the query.
 struct QueryCancelled {
   std::string id;
 };
+// The delay of a SetTimer has passed. Further events of this type are allowed at any time.
 struct TimerFired {};
 // New settings. Open queries refer to their class by its index, so a class that is in use keeps its index.
 struct SettingsChanged {
   Settings settings;
-  // By class: index of the old class whose learned values it takes over; -1: none.
+  // By class: index of the old class whose learned values it takes over; -1: none. An index j that occurs
+  // here must also be an index of the new classes, with inheritFrom[j] == j.
   std::vector<int> inheritFrom;
 };
 using Event = std::variant<ServerListArrived, QueryArrived, PartArrived, AttemptEnded, QueryCancelled,
                            TimerFired, StepBegan, SettingsChanged>;
 
 // Actions.
-// Starts an attempt of a part.
+// Starts an attempt of a part. The host reports its end by AttemptEnded, after `timeout` at the latest: then
+// with Outcome::timedOut.
 struct Send {
   std::string part;
   std::string server;
   Micros timeout = 0;
 };
+// Asks the host to cancel an attempt. The host reports its end by AttemptEnded.
 struct Cancel {
   std::string part;
   int attempt = 0;
@@ -172,7 +181,7 @@
 // Ends a query without an answer. Its client may send it again.
 struct Refuse {
   std::string query;
-  std::optional<Micros> retryAfter;
+  std::optional<Micros> retryAfter;  // retry hint for the client; absent: none is sent
 };
 // Ends an unsafe query that may have run.
 struct Fail {
