--- a/src/aggregator.cpp
+++ b/src/aggregator.cpp
@@ -1,5 +1,7 @@
 // The decision module: hedging, retries, admission control, outlier ejection, placement and final answers.
 // Interface: include/cometdeal/aggregator.hpp. Reasons for the design: docs/design.md.
+// Terms: a response of a server is done, error or busy; a part is answered by done only; a query gets a final
+// answer.
 #include <algorithm>
 #include <cmath>
 #include <cometdeal/aggregator.hpp>
@@ -27,7 +29,8 @@
 constexpr Micros kInitialDelayDivisor = 5;
 constexpr Micros kMinHedgeDelay = 1 * kMs;
 
-// Token bucket that limits hedges, retries and probes of a class; credited for each served part.
+// Token bucket for the hedges and retries of a class; credited for each answered part. First attempts that
+// serve as probes require a token but do not spend one.
 constexpr double kBucketCapacity = 10.0;
 constexpr double kBucketCredit = 0.1;
 constexpr double kBucketCost = 1.0;
@@ -37,8 +40,10 @@
 constexpr int kOverflowFactor = 2;
 constexpr int kOverflowSlack = 1;
 
-// Interval between sweeps over the open queries. Values from 5 to 20 ms make no difference.
-constexpr Micros kSweepInterval = 10 * kMs;
+// Interval of the timer that starts sweeps over the open queries when no events arrive; not sensitive between
+// 5 and 20 ms.
+constexpr Micros kTimerInterval = 10 * kMs;
+constexpr int kIdleTimerIntervals = 20;  // without open queries, the timer fires less often by this factor
 // Sweeps are at least this share of a tick apart, and at least kSweepTimePerQuery for each open query:
 // otherwise the cost of sweeps under overload would increase the overload.
 constexpr double kMinSweepTicks = 0.8;
@@ -49,26 +54,34 @@
 constexpr Micros kAnswerMargin = 5 * kMs;
 constexpr double kWeightTolerance = 1e-6;  // for rounding errors in sums of weights
 
-// Outlier ejection of servers. A server is ejected when it has parts outstanding but sends no answer for
-// kSilentHedgeDelays hedge delays, or when a connection to it fails or is reset. A part that it fails or
-// rejects counts as a latency of kFailureLatencyFactor times the median.
+// Outlier ejection of servers. A server is ejected when it has sent neither done nor error for an outstanding
+// part for kSilentHedgeDelays hedge delays, when an attempt times out without any response since it was sent,
+// or when a connection to it fails or is reset (except as in noteActiveReset() and noteIdleFailure()). A part
+// that it fails or rejects counts as a latency of kFailureLatencyFactor times the median.
 constexpr double kSilentHedgeDelays = 2.0;
 constexpr double kFailureLatencyFactor = 5.0;
 constexpr double kEwmaWeight = 0.2;          // weight of the newest sample in a moving average
 constexpr double kLatencyPriorWeight = 1.0;  // samples that the fleet's median counts for
 
-// Failures of idle connections and resets. They are ascribed to the connections, not to the servers, when at
-// least this many servers show them within the given time.
+// Failures of idle connections, and resets, are ascribed to the connections, not to the servers, when several
+// servers show them.
+// Number of servers with a failed idle connection within kIdleFailureSpan from which on connections with a
+// long idle time are closed before use.
 constexpr int kMinIdleFailures = 2;
+// Number of servers from which on resets are common: of those that sent done or error soon after a reset
+// within kResetSpan, for not ejecting a server at its first reset; of those with a reset within kResetSpan,
+// for suspecting repeated queries.
 constexpr int kMinResetServers = 2;
-// A server that answers so soon after a reset was not down.
+// A server that sends done or error so soon after a reset was not down.
 constexpr Micros kResetSurvivalSpan = 2 * kSecond;
 constexpr Micros kIdleFailureSpan = 10 * kSecond;
 constexpr Micros kResetSpan = 10 * kSecond;
+// For how long connections with a long idle time are then closed before use.
 constexpr Micros kIdleDistrustSpan = 30 * kSecond;
 // A connection that has been idle for less counts as in use.
 constexpr Micros kMinIdleTime = 800 * kMs;
-// A connect that fails after longer shows that connecting is slow. Idle connections are then kept open.
+// A connect that fails after longer shows that connecting is slow. Idle connections are then kept open
+// for kIdleFailureSpan.
 constexpr Micros kSlowConnectTime = 100 * kMs;
 
 // Interval between the probes of an ejected server or zone route; doubled with each probe.
@@ -78,36 +91,42 @@
 // Ejection of zone routes. A route is ejected when it has at least kRouteMinAttempts late attempts, of at
 // least kRouteMinLateQueries queries, which are at least kRouteEjectLateShare of all its attempts, while
 // another route has kRouteMinAttempts in time and a share of late ones below kRouteHealthyLateShare.
+// The counts decay, so 1.5 queries means a second late one shortly after the first.
 constexpr double kRouteMinLateQueries = 1.5;
 constexpr double kRouteMinAttempts = 3.0;
 constexpr double kRouteEjectLateShare = 0.8;
 constexpr double kRouteHealthyLateShare = 0.35;
 
 // Admission ratio: the share of queries admitted. It falls while servers reject more than kMaxBusyShare of
-// the parts as busy, and grows by kAdmissionGainPerSecond while they reject none. The prior adds parts that
-// were not rejected. It is divided by the number of instances, since that many see the same rejections.
+// the parts as busy, and grows by kAdmissionGainPerSecond while they reject none.
 constexpr double kMaxBusyShare = 0.02;
 constexpr double kAdmissionGainPerSecond = 0.5;
 constexpr double kMinAdmissionRatio = 0.1;
-constexpr double kManyBusyShare = 0.25;  // of the servers
+// Many servers are busy when more than this share of all has rejected a part within kBusySpan.
+constexpr double kManyBusyShare = 0.25;
+// Prior: parts, assumed not rejected, that are added to the counts so that a few rejections do not lower the
+// ratio. It is divided by the number of instances, since that many see the same rejections.
 constexpr double kBusyPriorParts = 3000.0;
-// From this completed weight on, the rejected parts of a query are retried without a token.
+// While the admission ratio is below 1, the rejected parts of a query are retried without a token from this
+// completed weight on, unless many servers are busy.
 constexpr double kNearlyCompleteWeight = 0.8;
 
-// Time constants of decaying counts.
+// Time constants of decaying counts. kBusySpan is also the window for counting busy servers.
 constexpr Micros kBusySpan = 1 * kSecond;
 constexpr Micros kLatencySpan = 10 * kSecond;
 constexpr Micros kRouteSpan = 3 * kSecond;
 constexpr Micros kRateSpan = 3 * kSecond;
 
-// Back-off between subscriptions to discovery.
+// Back-off between subscriptions to discovery, and the default of Settings::askWithin.
 constexpr Micros kFirstSubscribeBackoff = 300 * kMs;
 constexpr Micros kMaxSubscribeBackoff = 5 * kSecond;
+constexpr Micros kDefaultAskWithin = 10 * kSecond;
 
-// The fleet is stalled when no response arrives for kStallGaps mean gaps between answers while at least
-// kMinStallServers servers have parts outstanding. Up to kMaxStall of a stall is not counted in the age of
-// attempts. A pause with fewer such servers only holds hedges back, for at most kMaxPause. Where kStallGaps
-// mean gaps exceed kMaxStallThreshold, traffic is too thin to tell a stall.
+// The fleet is stalled when at least kMinStallServers servers have parts outstanding and no response arrives
+// for kStallGaps mean gaps between answers. The time of a stall, until kMaxStall after the latest response,
+// is deducted from the age of attempts. With fewer servers outstanding, a pause only suppresses hedges, for
+// at most kMaxPause. If kStallGaps mean gaps exceed kMaxStallThreshold, there is too little traffic to detect
+// a stall.
 constexpr double kStallGaps = 4.0;
 constexpr int kMinStallServers = 4;
 constexpr Micros kMaxStall = 600 * kMs;
@@ -117,16 +136,26 @@
 // A live attempt is hedged only while answers are steady: the latest response is at most a mean gap old, and
 // at least kSteadyTime has passed since the latest stall ended. Right after a stall the delayed answers
 // arrive together, also the one that the hedge would replace.
-constexpr Micros kMinSteadyGap = 1 * kMs;
+constexpr Micros kMinSteadyGap = 1 * kMs;  // used in place of a mean gap that is shorter
 constexpr Micros kSteadyTime = 5 * kMs;
 
 // A query is refused when its parts are expected to take longer than this share of its class's aim.
 constexpr double kAdmitTimeShare = 0.65;
-// The limit falls with the worth of the query, down to this part of it.
+// The limit is lower for a query that earns only a share of its class's worth, but at least this share of the
+// full limit.
 constexpr double kMinWorthShare = 0.4;
 constexpr double kMaxQueueFactor = 5.0;     // bound for the scaling of latencies by the queue
 constexpr double kFreeParallelParts = 2.0;  // estimate of the parts that a server runs without slowing down
+// Factors of the predicted latency in the choice of a server for a further attempt.
+constexpr double kTriedBeforeFactor = 2.0;
+constexpr double kEjectedFactor = 4.0;  // the server or its zone route is ejected
+constexpr double kOtherZoneFactor = 1.05;
 
+constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325ULL;
+constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
+constexpr double kTwoToThe53 = 9007199254740992.0;
+
+// The finalizer of SplitMix64.
 std::uint64_t mixBits(std::uint64_t x) {
   x ^= x >> 30;
   x *= 0xbf58476d1ce4e5b9ULL;
@@ -134,9 +163,10 @@
   x *= 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
-// A fixed hash without the seed of the instance, so that all instances agree on the home server of a key.
+// FNV-1a, then mixBits(). It is independent of the seed of the instance, so that all instances agree on the
+// home server of a key.
 std::uint64_t hashText(std::uint64_t h, const std::string& text) {
-  for (const unsigned char c : text) h = (h ^ c) * 0x100000001b3ULL;
+  for (const unsigned char c : text) h = (h ^ c) * kFnvPrime;
   return mixBits(h);
 }
 
@@ -170,26 +200,29 @@
   std::int64_t openTurn = -1;
   std::int64_t lastCountedCall = -1;  // the latest call counted for the zone route
   int openCallParts = 0;              // parts in openCall
-  double meanLatency = 0.0;           // moving average, normalised to a class of mean cost
+  double meanLatency = 0.0;           // moving average, normalized by relativeCost()
   double latencyRatio = 1.0;          // moving average of the latency relative to the fleet's median
   double meanOutstanding = 0.0;       // moving average of outstandingParts when answered parts were sent
-  double oldestPartAge = 0.0;         // normalised age of the oldest part outstanding
+  double oldestPartAge = 0.0;         // age of the oldest part outstanding, normalized by relativeCost()
   double sampleWeight = 0.0;          // decaying number of the samples behind meanLatency
   Micros latencyUpdatedAt = 0;
-  Micros lastResponseAt = -kNever;  // answer, error or busy response
+  Micros lastResponseAt = -kNever;  // done, error or busy
   Ejection ejection;
   bool closeBeforeSend = false;  // its idle connections are closed before the next send
+  // Start, or end of a long ejection. The server counts as cold for ColdRule::warmAfter from then.
   Micros coldSince = -kNever;
-  Micros connActiveAt = -kNever;     // when its connection was last new, in steady use or received from
-  Micros idleFailureAt = -kNever;    // when an idle connection last failed
-  Micros failedIdleTime = 0;         // how long that connection had been idle
-  Micros activeResetAt = -kNever;    // the latest reset of a connection in use
-  Micros survivedResetAt = -kNever;  // when it last answered soon after such a reset
-  Micros lastResetAt = -kNever;      // the latest reset that is not explained by an idle connection
-  Micros busyAt = -kNever;           // when it last rejected a part as busy
-  Micros lastAnswerAt = -kNever;     // answer or error, but not busy
-  std::deque<Micros> recentSends;    // while cold: send times within the window of the cold rule
-  double completionRate = 0.0;       // parts a second, as of completionRateAt
+  // When its connection was last opened, used without having been idle, or delivered a response; -kNever:
+  // none is open.
+  Micros connActiveAt = -kNever;
+  Micros idleFailureAt = -kNever;      // when an idle connection last failed
+  Micros failedIdleTime = 0;           // how long that connection had been idle
+  Micros activeResetAt = -kNever;      // the latest reset of a connection in use
+  Micros survivedResetAt = -kNever;    // when it last sent done or error soon after such a reset
+  Micros lastResetAt = -kNever;        // the latest reset, except after an idle time above maxIdleTime()
+  Micros busyAt = -kNever;             // when it last rejected a part as busy
+  Micros lastDoneOrErrorAt = -kNever;  // the latest done or error, not busy
+  std::deque<Micros> recentSends;      // while cold: send times within the window of the cold rule
+  double completionRate = 0.0;         // parts a second, as of completionRateAt
   Micros completionRateAt = 0;
 };
 
@@ -247,7 +280,7 @@
   int resets = 0;
   // Poison query (query of death): one that crashes the servers it reaches.
   bool suspectRepeat = false;     // repeated by its client while resets are common
-  bool provenHarmless = false;    // a server has served a part of it
+  bool provenHarmless = false;    // a server has answered a part of it
   bool isPoison = false;          // an attempt sent while it was suspected has ended in a reset too
   std::size_t stepFirstPart = 0;  // index of the current step's first part
   std::size_t stepPartCount = 0;
@@ -264,17 +297,18 @@
   Micros p95 = 0;
   Micros median = 0;
   std::ptrdiff_t samplesSinceRefresh = 0;
-  std::ptrdiff_t youngAtRefresh = -1;  // number of young samples in the latest refreshMedian()
+  std::ptrdiff_t recentAtRefresh = -1;  // number of recent samples in the latest refreshMedian()
   void add(Micros now, Micros latency) {
     longWindow.push_back(latency);
     shortWindow.push_back(latency);
     shortWindowTimes.push_back(now);
-    youngAtRefresh = -1;
+    recentAtRefresh = -1;
     if (longWindow.size() > kLongWindowSamples) longWindow.pop_front();
     if (shortWindow.size() > kShortWindowSamples) {
       shortWindow.pop_front();
       shortWindowTimes.pop_front();
     }
+    // Refreshes the percentiles with each of the first samples, later with every eighth.
     if (longWindow.size() <= 4 * kMinSamples || ++samplesSinceRefresh >= 8) refresh();
   }
   static Micros quantile(const std::deque<Micros>& samples, double q) {
@@ -289,14 +323,14 @@
     p95 = std::max(quantile(longWindow, kHedgePercentile), quantile(shortWindow, kHedgePercentile));
   }
   // Takes the median of the samples since `oldest`, or of the long window if these are fewer than
-  // kMinSamples. Otherwise old high latencies would keep queries refused, for refused queries bring no new
-  // samples.
+  // kMinSamples. Without this, high latencies from the past would keep queries refused, since refused queries
+  // produce no new samples.
   void refreshMedian(Micros oldest) {
-    const auto young = std::ranges::count_if(shortWindowTimes, [&](Micros when) { return when >= oldest; });
-    if (!ready() || std::exchange(youngAtRefresh, young) == young) return;
-    median = quantile(young < std::ptrdiff_t(kMinSamples)
+    const auto recent = std::ranges::count_if(shortWindowTimes, [&](Micros when) { return when >= oldest; });
+    if (!ready() || std::exchange(recentAtRefresh, recent) == recent) return;
+    median = quantile(recent < std::ptrdiff_t(kMinSamples)
                           ? longWindow
-                          : std::deque(shortWindow.end() - young, shortWindow.end()),
+                          : std::deque(shortWindow.end() - recent, shortWindow.end()),
                       0.5);
   }
   bool ready() const { return longWindow.size() >= kMinSamples; }
@@ -324,9 +358,9 @@
   LatencyTracker pooledLatency;           // of all classes
   double fleetMedian = 0.0;               // median of pooledLatency; 0 while it has too few samples
   std::vector<TokenBucket> hedgeBuckets;  // by class
-  // Within the window of the budget: arrival times of queries and parts, and send times of attempts beyond
-  // the first of a part.
-  std::deque<Micros> acceptedAt;
+  // Within the window of the budget: arrival times of all queries and parts, also of those refused, and send
+  // times of attempts beyond the first of a part.
+  std::deque<Micros> arrivedAt;
   std::deque<Micros> extraAttemptsAt;
   Micros keepIdleUntil = -kNever;   // idle connections are kept until then: new ones failed after a long time
   Micros trustedIdleTime = kNever;  // connections idle for longer are closed before use ...
@@ -337,15 +371,15 @@
   std::vector<std::vector<Server*>> shardHolders;  // serving, by shard modulo cells; rebuilt with each list
   double totalWarmRate = 0.0;                      // parts a second that all warm servers complete
   Micros fleetResponseAt = -kNever;                // latest response of any server
-  Micros answersSteadySince = -kNever;             // answers have arrived without a stall since then
+  Micros answersSteadySince = -kNever;             // responses have arrived without a long gap since then
   Micros stallTime = 0;                            // total time of stalls, as of the latest turn
   Micros stallCheckedAt = 0;
-  Micros latestServedSend = -kNever;  // the latest send time of all parts served so far
-  Micros timerAt = -1;
+  Micros latestAnsweredSend = -kNever;      // the latest send time of all attempts answered so far
+  Micros timerAt = -1;                      // when the timer fires; -1: not set
   Micros nextSweep = 0;                     // when all queries are processed again, not only touchedGroups
   std::vector<std::int64_t> touchedGroups;  // queries that the events of this turn concern
-  Micros nextSubscribeAt = -1;
-  Micros lastSubscribeAt = -1;
+  Micros nextSubscribeAt = -1;              // when the back-off ends; -1: none is pending
+  Micros lastSubscribeAt = -1;              // -1: never
   Micros subscribeBackoff = kFirstSubscribeBackoff;
   bool subscribed = false;
   double maxWorth = 0.0;           // of all classes
@@ -379,7 +413,7 @@
 
   // A pseudo-random number from [0, 1), fixed by the seed of this instance, `stream` and `id`.
   double hashDraw(std::uint64_t stream, const std::string& id) const {
-    return double(hashText(mixBits(salt + stream), id) >> 11) / 9007199254740992.0;
+    return double(hashText(mixBits(salt + stream), id) >> 11) / kTwoToThe53;
   }
   // How far ahead of a time limit a final answer is issued.
   Micros answerMargin() const { return kAnswerMarginTicks * settings.tick + kAnswerMargin; }
@@ -426,7 +460,8 @@
            s.state == ServerState::serving && offset < std::min(settings.reach, settings.cells); ++offset)
         shardHolders[cellIndex(s.cell - offset)].push_back(&s);
   }
-  // Removed servers never return under the same id. They are erased once no attempt refers to them.
+  // Erases removed servers to which no attempt refers. Called with each list. Discovery does not reuse the id
+  // of a removed server.
   void eraseRemovedServers() {
     std::set<const Server*> used;
     for (const auto& [group, q] : queries)
@@ -437,10 +472,11 @@
     });
   }
 
-  // Subscribes to discovery: at the start, after a failure, and again when no full list arrives in time.
+  // Subscribes to discovery: at the start, after a failure, and again when no list arrives in time.
   void subscribeIfDue() {
     if (!settings.mustAskDiscovery) return;
-    const Micros repeatAfter = settings.askWithin.value_or(10 * kSecond) / 2;
+    // Half of the limit leaves time for a repeat.
+    const Micros repeatAfter = settings.askWithin.value_or(kDefaultAskWithin) / 2;
     if (lastSubscribeAt >= 0 && nextSubscribeAt < 0 && (subscribed || now < lastSubscribeAt + repeatAfter))
       return;
     if (nextSubscribeAt > now) return;
@@ -481,7 +517,7 @@
   double sampleWeightNow(const Server& s) const {
     return s.sampleWeight * std::exp(-double(now - s.latencyUpdatedAt) / double(kLatencySpan));
   }
-  // The expected latency of a server, normalised to a class of mean cost: its own mean, weighted by its
+  // The expected latency of a server, normalized by relativeCost(): its own mean, weighted by its
   // recent samples, and the fleet's median as prior. A server's mean is stored as a time and as a ratio to
   // the median. The smaller one is used, since a slowdown of the whole fleet would otherwise count twice. The
   // age of its oldest outstanding part counts as one more sample where that raises the result.
@@ -499,7 +535,8 @@
     s.ejection = Ejection{};
     s.ejection.begin(now);
   }
-  // Ends an ejection. After a long one the server counts as cold, since it may have restarted unnoticed.
+  // Ends an ejection. After one of more than kMaxProbeInterval / 2 the server counts as cold, since it may
+  // have restarted unnoticed.
   void reinstate(Server& s) {
     actions.push_back(Note{"server reinstated: " + s.id});
     if (now - s.ejection.since > kMaxProbeInterval / 2) s.coldSince = now;
@@ -525,10 +562,12 @@
   int countServersWithin(Micros Server::*when, Micros span) const {
     return int(std::ranges::count_if(servers, [&](const auto& e) { return e.second.*when > now - span; }));
   }
-  // Connections that have been idle for longer are closed before the next send.
+  // Connections that have been idle for longer are closed before the next send; kNever while idle connections
+  // are trusted.
   Micros maxIdleTime() const {
-    const bool common = countServersWithin(&Server::idleFailureAt, kIdleDistrustSpan) >= kMinIdleFailures;
-    return common && now < idleDistrustUntil && now > keepIdleUntil ? trustedIdleTime : kNever;
+    const bool idleFailuresCommon =
+        countServersWithin(&Server::idleFailureAt, kIdleDistrustSpan) >= kMinIdleFailures;
+    return idleFailuresCommon && now < idleDistrustUntil && now > keepIdleUntil ? trustedIdleTime : kNever;
   }
   // Adds the time in which the whole fleet is stalled. As the network or this machine causes a stall, that
   // time makes no part late and no server silent. Called before the events of a turn, which can end a stall.
@@ -546,7 +585,8 @@
   }
   // The mean time between two answers of the fleet.
   double meanAnswerGap() const { return double(kSecond) / std::max(1.0, totalWarmRate); }
-  // Records that a server has responded. A response after a long gap ends a stall.
+  // Records a response. One after a long gap (kStallGaps mean gaps, and at least two ticks, the granularity
+  // of the host's timers) restarts the wait of kSteadyTime.
   void noteResponse() {
     if (double(now - fleetResponseAt) > std::max(kStallGaps * meanAnswerGap(), 2.0 * double(settings.tick)))
       answersSteadySince = now;
@@ -562,9 +602,11 @@
   // The age of an attempt without the time of stalls.
   Micros effectiveAge(const Attempt& a) const { return now - a.sentAt - (stallTime - a.stallTimeAtSend); }
   // Whether an attempt was probably lost because its connection had been idle: its server has sent nothing
-  // since, while another server has served a part that was sent later.
+  // since, while another server has answered a part that was sent later.
   bool lostOnIdleConnection(const Query& q, const Attempt& a) const {
-    if (a.idleTime <= 0 || a.server->lastResponseAt >= a.sentAt || latestServedSend <= a.sentAt) return false;
+    if (a.idleTime <= 0 || a.server->lastResponseAt >= a.sentAt || latestAnsweredSend <= a.sentAt)
+      return false;
+    // A connection that had been idle for longer than maxIdleTime() is presumed lost sooner.
     const double delays = a.idleTime > maxIdleTime() ? 1.0 : kSilentHedgeDelays;
     return double(effectiveAge(a)) > delays * double(hedgeDelay(q.cls));
   }
@@ -586,12 +628,13 @@
         shortest = std::min(shortest, other.failedIdleTime / 2);
     if (now >= idleDistrustUntil)
       actions.push_back(
-          Note{"idle connections fail at several servers: long idle ones are closed before use"});
+          Note{"idle connections fail at several servers; long-idle ones are closed before use"});
     trustedIdleTime = std::max(kMinIdleTime, shortest);
     idleDistrustUntil = now + kIdleDistrustSpan;
   }
   // A query may be poison after a reset, or when its client repeats it while resets are common. Its parts are
-  // sent one at a time until a server has served one.
+  // sent one at a time, the next when the previous attempt has ended or exceeds the hedge delay, until a
+  // server has answered one.
   bool suspectedPoison(const Query& q) const {
     return !q.provenHarmless && (q.resets > 0 || q.suspectRepeat);
   }
@@ -608,10 +651,11 @@
     q.isPoison = a.sentAsSuspect && !q.provenHarmless;
     if (a.idleTime <= maxIdleTime()) a.server->lastResetAt = now;
   }
-  // Where several servers have recently answered soon after a reset, resets say little about servers: the
-  // first reset of a server does not eject it.
-  bool survivesResets(Server& s) {
-    const bool again = s.activeResetAt > s.lastAnswerAt && s.activeResetAt < now;
+  // Records a reset of a connection in use. Returns true if it should not eject the server: several servers
+  // have recently sent done or error soon after a reset, so resets do not indicate failed servers, and it is
+  // the first reset of this server since its last done or error.
+  bool noteActiveReset(Server& s) {
+    const bool again = s.activeResetAt > s.lastDoneOrErrorAt && s.activeResetAt < now;
     s.activeResetAt = now;
     return !again && countServersWithin(&Server::survivedResetAt, kResetSpan) >= kMinResetServers;
   }
@@ -633,7 +677,7 @@
   // Counts an attempt as in time or late for the route to its zone. A route on which most attempts are late
   // while another route is healthy is ejected. This may be wrong where the servers of one zone are slower.
   void countForRoute(const Query& q, Attempt& a, bool inTime) {
-    if (a.call <= a.server->lastCountedCall) return;  // a call counts once
+    if (a.call <= a.server->lastCountedCall) return;  // a call counts once, and not after a later one
     a.server->lastCountedCall = a.call;
     ZoneRoute& route = zoneRoutes[a.server->zone];
     const double decay = std::exp(-double(now - route.updatedAt) / double(kRouteSpan));
@@ -665,6 +709,7 @@
   void reinstateRoute(int zone, ZoneRoute& route) {
     actions.push_back(Note{"zone route reinstated: zone " + std::to_string(zone)});
     route = ZoneRoute{};
+    // Servers of the zone that were ejected meanwhile are probed at once.
     for (auto& [id, s] : servers)
       if (s.zone == zone && s.ejection.active) s.ejection.nextProbeAt = std::min(s.ejection.nextProbeAt, now);
   }
@@ -675,7 +720,7 @@
   bool routeProbeDue(const Server& s) const { return now >= zoneRoutes.at(s.zone).ejection.nextProbeAt; }
 
   // Checks attempts that exceed the hedge delay. Ejects servers that are silent: with a part outstanding for
-  // kSilentHedgeDelays hedge delays, while another server has served a part that was sent later. If all
+  // kSilentHedgeDelays hedge delays, while another server has answered a part that was sent later. If all
   // servers are silent, none is ejected.
   void checkOverdueAttempts() {
     for (auto& [id, s] : servers) s.oldestPartAge = 0.0;
@@ -696,7 +741,7 @@
             continue;
           }
           const bool silent = double(effectiveAge(a)) > kSilentHedgeDelays * double(hedgeDelay(q.cls));
-          if (silent && s.lastAnswerAt < a.sentAt && latestServedSend > a.sentAt)
+          if (silent && s.lastDoneOrErrorAt < a.sentAt && latestAnsweredSend > a.sentAt)
             eject(s, "no response to outstanding parts");
         }
   }
@@ -704,9 +749,10 @@
     return s.ejection.active && now >= s.ejection.nextProbeAt && s.outstandingParts == 0;
   }
 
-  // Admits a share of the queries to a cold server: overloadFactor / 2 times the capacity that it has reached
-  // for certain. A pseudo-random draw selects them, so that the total of many instances is right even where
-  // each of them sends little.
+  // Whether a query may be sent to a server that may be cold. There are two limits. One is a share of the
+  // queries: overloadFactor / 2 times the minimum capacity that the server has reached. A pseudo-random draw
+  // selects them, so that the total of many instances is right even where each of them sends little. The
+  // other is the number of sends of this instance within the window of the rule.
   bool coldStartAllows(const Query& q, Server& s) {
     if (!settings.cold || settings.cold->window <= 0 || now - s.coldSince >= settings.cold->warmAfter)
       return true;
@@ -721,13 +767,14 @@
     return double(s.recentSends.size()) < std::max(double(std::max(1, settings.maxPartsPerCall)), allowance);
   }
 
-  // How long an attempt of a class may take before it is late.
+  // The hedge delay of a class: the time after which an attempt is late. Near the aim, isLate() uses less.
   Micros hedgeDelay(int cls) const {
     const LatencyTracker& t = latencyByClass[std::size_t(cls)];
     return std::max(kMinHedgeDelay,
                     t.ready() ? t.p95 : settings.classes[std::size_t(cls)].aim / kInitialDelayDivisor);
   }
 
+  // Calls outstanding where parts share calls, otherwise parts outstanding.
   int load(const Server& s) const {
     return settings.maxPartsPerCall > 1 ? int(s.outstandingCalls.size()) : s.outstandingParts;
   }
@@ -761,8 +808,9 @@
     if (routeEjected(s) && !(routeProbeDue(s) && mayProbe(q))) return false;
     return !s.ejection.active || (probeDue(s) && mayProbe(q));
   }
-  // The server for a part's first attempt: the home server of its key, or another one where the home is
-  // overloaded or slow. Ejected servers are used only if all holders are ejected, or for a probe.
+  // The server for a part's first attempt: its preferred server, otherwise the home server of its key, or
+  // another one where that is overloaded or slow. Ejected servers are candidates only for a probe, or if all
+  // others are ejected or too cold. Null if no holder may be used.
   Server* firstAttemptTarget(const Query& q, const Part& p) {
     std::vector<Server*> allHolders = holders(p.shard), candidates;
     for (Server* s : allHolders)
@@ -796,9 +844,9 @@
     for (Server* s : holders(p.shard)) {
       if (triedOn(p, s, true) || !coldStartAllows(q, *s) || (s->ejection.active && !probeDue(*s))) continue;
       double score = double(predictLatency(*s, q.cls));
-      if (triedOn(p, s, false)) score *= 2;
-      if (s->ejection.active || routeEjected(*s)) score *= 4;
-      if (settings.zone && s->zone != *settings.zone) score *= 1.05;
+      if (triedOn(p, s, false)) score *= kTriedBeforeFactor;
+      if (s->ejection.active || routeEjected(*s)) score *= kEjectedFactor;
+      if (settings.zone && s->zone != *settings.zone) score *= kOtherZoneFactor;
       if (!best || score < bestScore) {
         best = s;
         bestScore = score;
@@ -811,10 +859,12 @@
   bool budgetAllows() {
     if (!settings.budget) return true;
     const Micros from = now - settings.budget->window;
-    while (!acceptedAt.empty() && acceptedAt.front() <= from + settings.tick) acceptedAt.pop_front();
+    // Arrivals are dropped a tick early, sends are not, so that a host's clock that rounds to ticks cannot
+    // let attempts exceed the budget.
+    while (!arrivedAt.empty() && arrivedAt.front() <= from + settings.tick) arrivedAt.pop_front();
     while (!extraAttemptsAt.empty() && extraAttemptsAt.front() < from) extraAttemptsAt.pop_front();
     return double(extraAttemptsAt.size()) + 1.0 <=
-           settings.budget->baseAttempts + settings.budget->attemptsPerRequest * double(acceptedAt.size()) +
+           settings.budget->baseAttempts + settings.budget->attemptsPerRequest * double(arrivedAt.size()) +
                1e-9;
   }
   // Whether one more attempt of a part cannot have its effect twice.
@@ -850,14 +900,20 @@
     }
     s->closeBeforeSend = false;
     if (idle == 0) s->connActiveAt = now;
-    p.attempts.push_back(Attempt{s, now, stallTime, s->openCall, s->outstandingParts, suspectedPoison(q),
-                                 idle, true, false, true});
+    p.attempts.push_back(Attempt{.server = s,
+                                 .sentAt = now,
+                                 .stallTimeAtSend = stallTime,
+                                 .call = s->openCall,
+                                 .outstandingAtSend = s->outstandingParts,
+                                 .sentAsSuspect = suspectedPoison(q),
+                                 .idleTime = idle});
     ++s->outstandingParts;
     if (settings.cold && now - s->coldSince < settings.cold->warmAfter) s->recentSends.push_back(now);
     s->ejection.probeSent(now);
     if (routeEjected(*s)) zoneRoutes.at(s->zone).ejection.probeSent(now);
     p.spare = false;
-    // Under overload the time-out is the aim, so that servers do not start parts that would be late.
+    // The time-out is the aim where a later answer is of no use: for classes without worth after the aim, and
+    // under overload, so that servers do not start parts that would be late.
     const bool toAim = !q.terms && (admissionRatio < 1.0 || classOf(q).lateShare <= 0) && now < q.aimAt;
     actions.push_back(Send{p.id, s->id, (toAim ? q.aimAt : q.deadlineAt) - now});
     return true;
@@ -893,22 +949,23 @@
         }
       }
       const bool live = p.hasLiveAttempt();
-      if (live && p.attempts.size() > 1) continue;
+      if (live && p.attempts.size() > 1) continue;  // at most one hedge
       const Attempt& latest = p.attempts.back();
       const bool latestBusy = !live && latest.busy;
-      const bool isFinalAttempt = settings.maxAttempts && int(p.attempts.size()) + 1 >= *settings.maxAttempts;
-      // The final attempt, and retries of rejected parts under overload, follow the previous one after a
-      // pause.
-      if ((isFinalAttempt || (latestBusy && admissionRatio < 1.0)) && !live &&
+      const bool isLastAllowedAttempt =
+          settings.maxAttempts && int(p.attempts.size()) + 1 >= *settings.maxAttempts;
+      // The last attempt that maxAttempts allows, and retries of rejected parts under overload, are sent no
+      // earlier than half a hedge delay after the previous one was sent.
+      if ((isLastAllowedAttempt || (latestBusy && admissionRatio < 1.0)) && !live &&
           now - latest.sentAt < hedgeDelay(q.cls) / 2)
         continue;
       const bool onUnhealthyServer =
           live && (latest.connLost || latest.server->ejection.active || routeEjected(*latest.server));
       if (live && !answersAreSteady()) continue;
       TokenBucket& bucket = hedgeBuckets[std::size_t(q.cls)];
-      // Failed parts are retried without a token. Parts rejected as busy are retried without one only while
-      // few servers are busy, and under overload only if the query is nearly complete: otherwise the work for
-      // its other parts would be wasted.
+      // Failed parts need no token, but take one if there is one. Parts rejected as busy are retried without
+      // one only while few servers are busy, and under overload only if the query is nearly complete:
+      // otherwise the work for its other parts would be wasted.
       const bool needsToken = latestBusy ? manyServersBusy() || (admissionRatio < 1.0 &&
                                                                  completedWeight(q) < kNearlyCompleteWeight)
                                          : live && !onUnhealthyServer;
@@ -978,10 +1035,10 @@
       noteResponse();
     }
     if (e.outcome == Outcome::done || e.outcome == Outcome::error) {
-      if (a.sentAt >= s.activeResetAt && s.lastAnswerAt <= s.activeResetAt &&
+      if (a.sentAt >= s.activeResetAt && s.lastDoneOrErrorAt <= s.activeResetAt &&
           now - s.activeResetAt < kResetSurvivalSpan)
         s.survivedResetAt = now;
-      s.lastAnswerAt = now;
+      s.lastDoneOrErrorAt = now;
     }
     switch (e.outcome) {
       case Outcome::done:
@@ -990,7 +1047,7 @@
           s.idleFailureAt = -kNever;
           s.closeBeforeSend = false;
         }
-        latestServedSend = std::max(latestServedSend, a.sentAt);
+        latestAnsweredSend = std::max(latestAnsweredSend, a.sentAt);
         s.completionRate = completionRateNow(s) + double(kSecond) / double(kRateSpan);
         s.completionRateAt = now;
         s.meanOutstanding += kEwmaWeight * (a.outstandingAtSend - s.meanOutstanding);
@@ -1010,7 +1067,7 @@
         break;
       case Outcome::timedOut:
         recordLatency(s, latency, true);
-        if (s.lastResponseAt >= a.sentAt) break;
+        if (s.lastResponseAt >= a.sentAt) break;  // the server has responded since: only this part is slow
         [[fallthrough]];
       case Outcome::connectFailed:
       case Outcome::reset:
@@ -1022,8 +1079,8 @@
           if (q.resets == 1) noteIdleFailure(s, a.idleTime);  // once a query: it may be poison
           break;
         }
-        if (e.outcome == Outcome::reset && survivesResets(s)) break;
-        eject(s, "connection failed or reset");
+        if (e.outcome == Outcome::reset && noteActiveReset(s)) break;
+        eject(s, "connection failed or reset, or no response before the time-out");
         break;
     }
   }
@@ -1099,12 +1156,14 @@
   // Answers or abandons a query once its final answer is certain or a time limit is near.
   void checkCompletion(Query& q) {
     if (q.isPoison) {
-      actions.push_back(Note{"query abandoned, its attempts end in resets at each server: " + q.id});
+      actions.push_back(
+          Note{"query abandoned as suspected poison (attempts ended in connection resets): " + q.id});
       return abandon(q);
     }
     const ClassSettings& cls = classOf(q);
     const bool allPartsArrived = q.stepPartCount > 0 && q.parts.size() - q.stepFirstPart >= q.stepPartCount;
     const double required = q.step == 1 ? cls.requiredShare : 1.0;
+    // The second step must be complete unless the class allows partial answers.
     const double minimum =
         q.step == 1 ? cls.minimumShare
                     : (cls.minimumShare < cls.requiredShare - kWeightTolerance ? cls.minimumShare : 1.0);
@@ -1139,7 +1198,7 @@
   }
 
   void on(const QueryArrived& e) {
-    if (settings.budget) acceptedAt.push_back(now);
+    if (settings.budget) arrivedAt.push_back(now);
     if (queries.contains(e.group)) return;
     if (e.cls < 0 || std::size_t(e.cls) >= settings.classes.size()) {
       actions.push_back(Refuse{e.id, std::nullopt});
@@ -1152,10 +1211,10 @@
     markTouched(q);
     const ClassSettings& cls = classOf(q);
     q.keyed = e.key.has_value();
-    if (q.keyed) q.keyHash = hashText(0xcbf29ce484222325ULL, *e.key);
+    if (q.keyed) q.keyHash = hashText(kFnvOffsetBasis, *e.key);
     q.deadlineAt = now + e.timeLeft;
-    // The aim counts from the first try of the client. A repeated query only tells the time left to its
-    // deadline.
+    // The aim counts from the first try of the client. A repeated query carries only the time left until
+    // its deadline, from which the time already spent is derived.
     const Micros spent = e.repeated ? std::max<Micros>(0, cls.deadline - e.timeLeft) : 0;
     q.aimAt = std::min(now + std::max<Micros>(0, cls.aim - spent), q.deadlineAt);
     q.stepPartCount = std::size_t(std::max(0, e.parts));
@@ -1167,7 +1226,7 @@
     groupOf[e.id] = e.group;
   }
   void on(const PartArrived& e) {
-    if (settings.budget) acceptedAt.push_back(now);
+    if (settings.budget) arrivedAt.push_back(now);
     const auto at = queries.find(e.group);
     if (at == queries.end()) return;
     Part& p = at->second.parts.emplace_back();
@@ -1178,7 +1237,7 @@
     markTouched(at->second);
     groupOf[e.id] = e.group;
   }
-  // Takes a query off the allowance of its tenant. Returns false if the tenant is over its share.
+  // Charges a query to its tenant's allowance. Returns false if the tenant is over its share.
   bool takeTenantToken(int tenant) {
     const double elapsed = double(now - tenantTokensAt) / kSecond;
     tenantTokensAt = now;
@@ -1193,14 +1252,14 @@
     tenantTokens[index] -= 1.0;
     return true;
   }
-  // Admits a query, or abandons it under overload or when it is expected too late.
+  // Admits a query, or refuses it: under overload, when it is expected too late, or when it has no worth.
   void admit(Query& q) {
     const ClassSettings& cls = classOf(q);
     const bool pastAim = q.aimAt <= now + answerMargin();
     double worthFactor = q.overShare ? settings.overShareWorth.value_or(1.0) : 1.0;
     if (pastAim) worthFactor *= cls.lateShare;
     if (worthFactor <= 0) return abandon(q);
-    // Small queries are preferred: they seldom fail by one rejected part, and take little capacity.
+    // Small queries are preferred: a rejected part makes them fail less often, and they take little capacity.
     const double sizeFactor = std::min(1.0, double(q.parts.size()) / std::max(1.0, meanPartsPerQuery));
     if (hashDraw(std::uint64_t(q.group), "let in") >=
         std::pow(admissionRatio, sizeFactor * maxWorth / cls.worth))
@@ -1279,7 +1338,7 @@
     }
     touchedGroups.clear();
     const Micros timerInterval =
-        std::max(settings.tick, queries.empty() ? 20 * kSweepInterval : kSweepInterval);
+        std::max(settings.tick, queries.empty() ? kIdleTimerIntervals * kTimerInterval : kTimerInterval);
     if (timerAt < 0 || timerAt > now + timerInterval) {
       timerAt = now + timerInterval;
       actions.push_back(SetTimer{timerInterval});
