--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -79,13 +79,13 @@
   return index < values.size() && !values[index].is_null() ? number(values[index], name) : fallback;
 }
 
-// The value that `text` stands for in the field `field`.
+// Maps `text` to its enum value. Throws Malformed if it is unknown.
 template <typename T>
 T enumValue(const std::string& text, std::initializer_list<std::pair<const char*, T>> names,
-            const char* field) {
+            const char* fieldName) {
   for (const auto& [name, value] : names)
     if (text == name) return value;
-  throwMalformed(std::string("unknown ") + field + " '" + text + "'");
+  throwMalformed(std::string("unknown ") + fieldName + " '" + text + "'");
 }
 
 }  // namespace
@@ -97,17 +97,17 @@
   const Json& limits = section(info, "limits");
   const Json& safety = section(info, "safety");
   std::size_t index = 0;
-  for (const Json& one : list(info, "categories")) {
+  for (const Json& category : list(info, "categories")) {
     ClassSettings cls;
-    cls.aim = micros(one, "aim");
-    cls.deadline = has(one, "hardLimit") ? micros(one, "hardLimit") : cls.aim;
-    cls.worth = number(one, "points", 1.0);
-    cls.lateShare = number(one, "lateShare", 0.0);
-    if (has(one, "effect"))
+    cls.aim = micros(category, "aim");
+    cls.deadline = has(category, "hardLimit") ? micros(category, "hardLimit") : cls.aim;
+    cls.worth = number(category, "points", 1.0);
+    cls.lateShare = number(category, "lateShare", 0.0);
+    if (has(category, "effect"))
       cls.effect = enumValue<Effect>(
-          text(one, "effect"), {{"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}},
-          "effect");
-    cls.repeatWindow = optionalMicros(one, "dedupWindow");
+          text(category, "effect"),
+          {{"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}}, "effect");
+    cls.repeatWindow = optionalMicros(category, "dedupWindow");
     cls.requiredShare = numberAt(family, "needByClass", index, 1.0);
     cls.minimumShare = numberAt(family, "classFloor", index, cls.requiredShare);
     cls.partialFactor = numberAt(family, "classPartial", index, 0.0);
@@ -115,9 +115,10 @@
     out.classes.push_back(cls);
     ++index;
   }
-  for (const Json& one : list(info, "tenants")) {
+  for (const Json& entry : list(info, "tenants")) {
     TenantSettings tenant;
-    if (has(one, "allowancePerS")) tenant.allowancePerSecond = number(one["allowancePerS"], "allowancePerS");
+    if (has(entry, "allowancePerS"))
+      tenant.allowancePerSecond = number(entry["allowancePerS"], "allowancePerS");
     out.tenants.push_back(tenant);
   }
   if (has(info, "overShareWorth")) out.overShareWorth = number(info["overShareWorth"], "overShareWorth");
@@ -175,21 +176,21 @@
   return out;
 }
 
-std::vector<ServerEntry> readTable(const Json& body) {
+std::vector<ServerEntry> readServerList(const Json& body) {
   if (!field(body, "records").is_array()) throwMalformed("field 'records' is not a list");
   std::vector<ServerEntry> out;
-  for (const Json& one : body["records"]) {
-    if (!one.is_object()) throwMalformed("an entry of 'records' is not an object");
+  for (const Json& record : body["records"]) {
+    if (!record.is_object()) throwMalformed("an entry of 'records' is not an object");
     ServerEntry entry;
-    entry.id = text(one, "server");
-    entry.zone = smallInteger(one, "site", 0);
-    entry.cell = smallInteger(one, "place", 0);
-    entry.state = enumValue<ServerState>(text(one, "readiness"),
+    entry.id = text(record, "server");
+    entry.zone = smallInteger(record, "site", 0);
+    entry.cell = smallInteger(record, "place", 0);
+    entry.state = enumValue<ServerState>(text(record, "readiness"),
                                          {{"in_service", ServerState::serving},
                                           {"terminating", ServerState::draining},
                                           {"terminated", ServerState::gone}},
                                          "readiness");
-    entry.started = optionalMicros(one, "launched");
+    entry.started = optionalMicros(record, "launched");
     if (entry.started && *entry.started == 0) entry.started.reset();  // 0: long ago
     out.push_back(std::move(entry));
   }
@@ -209,7 +210,8 @@
                             "stateCode");
 }
 
-// Reads an arriving query, or a part of one if it names a shard.
+// Reads an arriving query, or a part of one if it names a shard. `heft` of a query is its number of parts,
+// `heft` of a part its weight.
 Event readIncoming(const Json& body) {
   const int shard = smallInteger(body, "shard", -1);
   if (shard >= 0) {
@@ -268,7 +270,7 @@
 
 }  // namespace
 
-std::string Host::answer(const std::string& line) {
+std::string Host::handleBatch(const std::string& line) {
   const Json batch = Json::parse(line, nullptr, false);
   if (batch.is_discarded()) throwMalformed("not JSON");
   if (!batch.is_object()) throwMalformed("a batch is not an object");
@@ -291,7 +293,7 @@
     const Json& body = item.begin().value();
     if (!body.is_object()) throwMalformed("the fields of '" + name + "' are not an object");
     if (name == "Roster") {
-      serverLists_[integer(body, "table")] = readTable(body);
+      serverLists_[integer(body, "table")] = readServerList(body);
       continue;
     }
     const std::int64_t i = integer(body, "i");
@@ -302,7 +304,7 @@
       instances_.erase(i);
       instances_.emplace(i, Aggregator(readSettings(info), seed.get<std::uint64_t>()));
       loadColumns_[i] = readColumns(info);
-      std::erase(order, i);
+      std::erase(order, i);  // events before Configure were for the previous instance
       events.erase(i);
     } else if (name == "Retire") {
       instances_.erase(i);
@@ -333,7 +335,9 @@
     } else if (name == "Hangup") {
       add(i, QueryCancelled{text(body, "tid")});
     } else if (name == "Started" || name == "Peer" || name == "Probed") {
-      continue;  // not used by the decision module: streams, messages among instances and probe results
+      // Started (first data of an answer), Peer (messages among instances) and Probed (probe results) are not
+      // used by the decision module.
+      continue;
     } else {
       throwMalformed("unknown event '" + name + "'");
     }
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -22,12 +22,13 @@
 class Host {
  public:
   // Handles a batch and returns the reply, both without a line end. Throws Malformed.
-  std::string answer(const std::string& line);
+  std::string handleBatch(const std::string& line);
 
  private:
   std::map<std::int64_t, Aggregator> instances_;
-  std::map<std::int64_t, std::vector<ServerEntry>> serverLists_;  // server lists by number
-  std::map<std::int64_t, std::vector<std::string>> loadColumns_;  // columns of `healthInfo`, by instance
+  std::map<std::int64_t, std::vector<ServerEntry>> serverLists_;  // by `table`, their number
+  // Columns of `healthInfo`, by instance. Retire keeps them; the next Configure replaces them.
+  std::map<std::int64_t, std::vector<std::string>> loadColumns_;
 };
 
 }  // namespace cometdeal::wire
--- a/src/wire/wirehost.cpp
+++ b/src/wire/wirehost.cpp
@@ -14,7 +14,7 @@
   try {
     while (std::getline(std::cin, line)) {
       if (line.empty()) continue;
-      std::string reply = host.answer(line);
+      std::string reply = host.handleBatch(line);
       reply += '\n';
       std::cout.write(reply.data(), static_cast<std::streamsize>(reply.size()));
       std::cout.flush();
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -26,17 +26,17 @@
 
 TEST(Codec, AnEmptyBatchGivesAnEmptyReply) {
   Host host;
-  EXPECT_EQ(host.answer(R"({"moment":1.25,"items":[]})"), R"({"steps":[]})");
+  EXPECT_EQ(host.handleBatch(R"({"moment":1.25,"items":[]})"), R"({"steps":[]})");
 }
 
 TEST(Codec, AQueryIsSentAndAnswered) {
   Host host;
-  host.answer(kStart);
-  const std::string sent = host.answer(kQuery);
+  host.handleBatch(kStart);
+  const std::string sent = host.handleBatch(kQuery);
   EXPECT_TRUE(contains(sent, R"("Issue":{"i":0)")) << sent;
   EXPECT_TRUE(contains(sent, R"("server":"server_a")")) << sent;
   EXPECT_TRUE(contains(sent, R"("tid":"c:p")")) << sent;
-  const std::string answered = host.answer(
+  const std::string answered = host.handleBatch(
       R"({"moment":150.0,"items":[{"AttemptEnd":{"i":0,"tid":"c:p","n":0,"stateCode":"done","noMore":true,)"
       R"("server":"server_a","costTime":45.0,"healthInfo":[1.0,2]}}]})");
   EXPECT_TRUE(contains(answered, R"("Conclude":{"full":true,"i":0,"tid":"c:q"})")) << answered;
@@ -45,12 +45,12 @@
 TEST(Codec, IdleConnectionsAreClosedBeforeTheNextSend) {
   // After a reset of a connection that had been idle, the next send to its server uses a new one.
   Host host;
-  host.answer(kStart);
-  host.answer(kQuery);
+  host.handleBatch(kStart);
+  host.handleBatch(kQuery);
   const auto attempt = [&](const std::string& moment, const std::string& tid, const std::string& state) {
-    return host.answer(R"({"moment":)" + moment + R"(,"items":[{"AttemptEnd":{"i":0,"tid":")" + tid +
-                       R"(","n":0,"stateCode":")" + state +
-                       R"(","noMore":false,"server":"server_a","costTime":1.0,"healthInfo":null}}]})");
+    return host.handleBatch(R"({"moment":)" + moment + R"(,"items":[{"AttemptEnd":{"i":0,"tid":")" + tid +
+                            R"(","n":0,"stateCode":")" + state +
+                            R"(","noMore":false,"server":"server_a","costTime":1.0,"healthInfo":null}}]})");
   };
   attempt("150.0", "c:p", "done");
   std::string later = kQuery;
@@ -60,7 +60,7 @@
     later.replace(later.find(from), from.size(), to);
   for (std::size_t at; (at = later.find("\"groupNo\":1,")) != std::string::npos;)
     later.replace(at, 12, "\"groupNo\":2,");
-  EXPECT_FALSE(contains(host.answer(later), "Disconnect"));
+  EXPECT_FALSE(contains(host.handleBatch(later), "Disconnect"));
   const std::string again = attempt("4002.0", "c:s", "econnreset");
   const std::size_t close = again.find(R"("Disconnect":{"i":0,"server":"server_a"})");
   ASSERT_NE(close, std::string::npos) << again;
@@ -69,26 +69,27 @@
 
 TEST(Codec, TwoInstancesShareNothing) {
   Host host;
-  host.answer(kStart);
+  host.handleBatch(kStart);
   std::string other = kStart;
   for (std::size_t at; (at = other.find("\"i\":0")) != std::string::npos;) other.replace(at, 5, "\"i\":1");
-  host.answer(other);
+  host.handleBatch(other);
   std::string query = kQuery;
   for (std::size_t at; (at = query.find("\"i\":0")) != std::string::npos;) query.replace(at, 5, "\"i\":1");
-  const std::string one = host.answer(kQuery), two = host.answer(query);
+  const std::string one = host.handleBatch(kQuery), two = host.handleBatch(query);
   EXPECT_TRUE(contains(two, "\"i\":1") && !contains(two, "\"i\":0"));
-  EXPECT_EQ(one.size(), two.size());
+  EXPECT_EQ(one.size(), two.size());  // the same reply but for the number of the instance
 }
 
 TEST(Codec, ARetiredInstanceStartsAgainWithoutState) {
   Host host;
-  host.answer(kStart);
-  host.answer(kQuery);
-  EXPECT_EQ(host.answer(R"({"moment":110.0,"items":[{"Retire":{"i":0}}]})"), R"({"steps":[]})");
-  EXPECT_THROW(host.answer(R"({"moment":111.0,"items":[{"Wakeup":{"i":0,"nonce":"look"}}]})"), Malformed);
-  host.answer(kStart);
+  host.handleBatch(kStart);
+  host.handleBatch(kQuery);
+  EXPECT_EQ(host.handleBatch(R"({"moment":110.0,"items":[{"Retire":{"i":0}}]})"), R"({"steps":[]})");
+  EXPECT_THROW(host.handleBatch(R"({"moment":111.0,"items":[{"Wakeup":{"i":0,"nonce":"look"}}]})"),
+               Malformed);
+  host.handleBatch(kStart);
   EXPECT_FALSE(
-      contains(host.answer(R"({"moment":5000.0,"items":[{"Wakeup":{"i":0,"nonce":"look"}}]})"), "c:q"));
+      contains(host.handleBatch(R"({"moment":5000.0,"items":[{"Wakeup":{"i":0,"nonce":"look"}}]})"), "c:q"));
 }
 
 TEST(Codec, ErrorsDescribeTheMalformedInput) {
@@ -107,9 +108,9 @@
   };
   for (const auto& [line, reason] : cases) {
     Host host;
-    host.answer(kStart);
+    host.handleBatch(kStart);
     try {
-      host.answer(line);
+      host.handleBatch(line);
       ADD_FAILURE() << "accepted: " << line;
     } catch (const Malformed& error) {
       EXPECT_TRUE(contains(error.what(), reason)) << error.what();
--- a/tests/example_test.cpp
+++ b/tests/example_test.cpp
@@ -1,4 +1,4 @@
-// The example in the README: how a front node embeds the library.
+// The example in the README: how a mixer embeds the library.
 #include <gtest/gtest.h>
 
 #include <cometdeal/aggregator.hpp>
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -31,26 +31,27 @@
   Aggregator aggregator;
   Micros now = 5000 * ms;
   std::vector<Action> lastActions;  // the actions of the last step
-  std::vector<Send> sends;          // of the whole run, as the following lists are
+  // Recorded over the whole run:
+  std::vector<Send> sends;
   std::vector<Cancel> cancels;
   std::vector<Answer> answers;
   std::vector<Refuse> refusals;
   std::vector<Fail> fails;
   std::vector<CloseIdle> closes;
   int subscribeCount = 0, queryCount = 0;
-  Micros timerAt = -1;  // when the timer set last fires; -1: none was set
+  Micros timerAt = -1;  // when the most recently set timer fires; -1: none was set
 
   explicit AggregatorRig(Settings set, std::uint64_t seed = 7) : aggregator(std::move(set), seed) {}
 
   // Feeds the events at the current time and records the actions.
   void step(const std::vector<Event>& events) {
     lastActions = aggregator.react(now, events);
-    std::vector<Event> withdrawn;  // a cancel ends its attempt, as with a server that keeps to the protocol
+    std::vector<Event> cancelled;  // a cancel ends its attempt, as with a server that keeps to the protocol
     for (const Action& a : lastActions)
       if (const auto* x = std::get_if<Cancel>(&a))
         for (const Send& s : sends)
           if (s.part == x->part && attemptOf(s) == x->attempt)
-            withdrawn.push_back(AttemptEnded{x->part, x->attempt, Outcome::cancelled, s.server, 0, {}});
+            cancelled.push_back(AttemptEnded{x->part, x->attempt, Outcome::cancelled, s.server, 0, {}});
     for (const Action& a : lastActions) {
       if (const auto* x = std::get_if<Send>(&a)) sends.push_back(*x);
       if (const auto* x = std::get_if<Cancel>(&a)) cancels.push_back(*x);
@@ -61,7 +62,7 @@
       if (std::get_if<Subscribe>(&a)) ++subscribeCount;
       if (const auto* x = std::get_if<SetTimer>(&a)) timerAt = now + x->delay;
     }
-    if (!withdrawn.empty()) step(withdrawn);
+    if (!cancelled.empty()) step(cancelled);
   }
   // The number of the attempt that a send of the run began, from 0 for each part.
   int attemptOf(const Send& which) const {
@@ -72,7 +73,7 @@
     }
     return attempt;
   }
-  // Advances the time in steps of 5 ms, with the timer firing at each.
+  // Advances the time in steps of 5 ms, with a TimerFired event at each.
   void advance(Micros duration) {
     for (const Micros until = now + duration; now < until;) {
       now += 5 * ms;
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -12,11 +12,12 @@
   std::string out;
   int status = -1;  // exit status; -1: not started, or ended by a signal
 };
-// Runs the program with the lines on its standard input. `out` is its standard error if `errors`, otherwise
-// its standard output.
-ProgramRun runProgram(const std::string& lines, bool errors) {
-  const std::string command = "printf '%s' '" + lines + "' | " COMETDEAL_PROGRAM +
-                              (errors ? std::string(" 2>&1 >/dev/null") : std::string(" 2>/dev/null"));
+enum class Capture { standardOutput, standardError };
+// Runs the program with the lines on its standard input. `out` of the result is the captured stream.
+ProgramRun runProgram(const std::string& lines, Capture capture) {
+  const std::string command =
+      "printf '%s' '" + lines + "' | " COMETDEAL_PROGRAM +
+      (capture == Capture::standardError ? std::string(" 2>&1 >/dev/null") : std::string(" 2>/dev/null"));
   ProgramRun run;
   FILE* pipe = popen(command.c_str(), "r");
   if (!pipe) return run;
@@ -32,7 +33,8 @@
 class Malformed : public testing::TestWithParam<const char*> {};
 TEST_P(Malformed, EndsWithOneErrorLineAndNoPartialReply) {
   const std::string input = kEmptyBatch + GetParam() + "\n" + kEmptyBatch;
-  const ProgramRun out = runProgram(input, false), errors = runProgram(input, true);
+  const ProgramRun out = runProgram(input, Capture::standardOutput),
+                   errors = runProgram(input, Capture::standardError);
   EXPECT_EQ(out.out, "{\"steps\":[]}\n");
   EXPECT_NE(out.status, 0);
   EXPECT_NE(out.status, -1);
@@ -48,7 +50,7 @@
   const ProgramRun run = runProgram(
       "{\"moment\":1.0,\"items\":[{\"Configure\":{\"i\":1,\"randomSeed\":3,\"bootInfo\":{\"novel\":[1]}}}]}"
       "\n",
-      false);
+      Capture::standardOutput);
   EXPECT_EQ(run.status, 0);
   EXPECT_EQ(run.out, "{\"steps\":[]}\n");
 }
