--- a/tests/aggregator_test.cpp
+++ b/tests/aggregator_test.cpp
@@ -1,4 +1,12 @@
-// Tests of the decision module: events in, actions out, in virtual time.
+// Tests of the decision module: events in, actions out, in virtual time. Suites:
+//   Design: placement, hedges and retries.
+//   Rules: guarantees that hold in every situation.
+//   Health: latency, rejections and ejection of servers, and stalls of the fleet.
+//   ZoneRoutes: ejection of the route to a zone.
+//   Suspects: whether the server, the connection or the query caused a failed attempt.
+//   Sweeps: many open queries.
+//   Latency: the hedge delay.
+//   Discovery, Admission, Determinism.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -25,8 +33,6 @@
   return out;
 }
 
-// ---- Placement, hedges and retries ----
-
 TEST(Design, AllInstancesAgreeOnTheHomeOfAKey) {
   const auto one = homesByKey(1), other = homesByKey(99);
   EXPECT_EQ(one, other);
@@ -92,10 +98,11 @@
     rig.advance(300 * ms);
     rig.finish(at);
   }
+  // 40 first attempts, 2 tokens from the warm-up, 4 tokens from these parts, 1 for rounding.
   EXPECT_LE(rig.sends.size() - before, 40u + 2u + 4u + 1u);
 }
 
-// ---- Rule 1: each query gets one final answer ----
+// ---- Rules: each query gets one final answer ----
 
 TEST(Rules, EveryQueryEndsOnceBeforeItsDeadlineAndNothingIsSentAfterwards) {
   AggregatorRig rig(plainSettings());
@@ -144,7 +151,7 @@
   EXPECT_EQ(rig.refusals.size(), 1u);
 }
 
-// ---- Rule 2: no effect takes place twice ----
+// ---- Rules: no effect takes place twice ----
 
 class MayHaveRun : public testing::TestWithParam<Outcome> {};
 TEST_P(MayHaveRun, AnUnsafePartIsNeitherResentNorItsQueryRefused) {
@@ -211,7 +218,7 @@
   }
 }
 
-// ---- Rule 3: draining servers receive no new parts ----
+// ---- Rules: draining servers receive no new parts ----
 
 TEST(Rules, NothingIsSentToADrainingOrRemovedServer) {
   for (const ServerState state : {ServerState::draining, ServerState::gone}) {
@@ -248,7 +255,7 @@
   }
 }
 
-// ---- Rule 4: cold servers ----
+// ---- Rules: cold servers ----
 
 TEST(Rules, ManyInstancesTogetherKeepAColdServerUnderItsShareAndStillUseIt) {
   // Guards against a limit on sends for each instance alone. With sixty instances of little traffic, one send
@@ -273,7 +280,8 @@
     }
   }
   EXPECT_GT(cold, 0);
-  EXPECT_LT(cold, (cold + warm) * 0.16);  // it is home to half of the keys, and a fifth of those may go there
+  // It is home to half of the keys, and a fifth of those may go there; the rest is for random variation.
+  EXPECT_LT(cold, (cold + warm) * 0.16);
   EXPECT_EQ(cold + warm, 600);
 }
 
@@ -290,7 +298,7 @@
   EXPECT_LE(rig.sends.size(), 6u);  // the others wait for the next window
 }
 
-// ---- Rule 5: answers state correctly whether they are complete ----
+// ---- Rules: answers state correctly whether they are complete ----
 
 Settings partialSettings() {
   Settings set = plainSettings();
@@ -362,7 +370,7 @@
   EXPECT_TRUE(rig.answers[0].complete);
 }
 
-// ---- Rule 6: the budget limits attempts ----
+// ---- Rules: the budget limits attempts ----
 
 TEST(Rules, FurtherAttemptsStayWithinTheBudgetWhereOneIsSet) {
   for (const bool limited : {true, false}) {
@@ -407,11 +415,12 @@
   EXPECT_EQ(rig.finalAnswers(), 31u);
 }
 
-// ---- Health: latency and ejection of servers ----
+// Queries with this key have the same home server.
+constexpr const char* kSameServerKey = "quiet";
 
 // Serves a query, so that the connection to its server has just been in use. Returns that server.
 std::string serveOneQuery(AggregatorRig& rig) {
-  rig.query(1, 0, 4000 * ms, "quiet");
+  rig.query(1, 0, 4000 * ms, kSameServerKey);
   const std::string server = rig.sends.back().server;
   rig.finish(rig.sends.size() - 1);
   return server;
@@ -437,14 +446,14 @@
   rig.servers(fleet(3));
   rig.warmUp(30, 50 * ms);
   const std::string silent = serveOneQuery(rig);
-  rig.query(1, 0, 4000 * ms, "quiet");
+  rig.query(1, 0, 4000 * ms, kSameServerKey);
   const std::size_t firstUnanswered = rig.sends.size() - 1;
   ASSERT_EQ(rig.sends.back().server, silent);
   rig.advance(60 * ms);
   serveOthers(rig, silent, 6);  // the other servers serve parts that were sent later
   rig.advance(200 * ms);
   EXPECT_EQ(serveOthers(rig, silent, 20), 0u);
-  rig.step({QueryCancelled{"q" + std::to_string(rig.queryCount)}});
+  rig.step({QueryCancelled{"q" + std::to_string(rig.queryCount)}});  // already answered: the event is ignored
   for (std::size_t k = firstUnanswered; k < rig.sends.size(); ++k) rig.finish(k, Outcome::cancelled);
   rig.advance(700 * ms);
   const std::size_t before = rig.sends.size();
@@ -469,10 +478,11 @@
   rig.warmUp(30, 50 * ms);
   const std::string hung = serveOneQuery(rig);
   rig.advance(5 * ms);
-  rig.query(1, 0, 4000 * ms, "quiet");
+  rig.query(1, 0, 4000 * ms, kSameServerKey);
   ASSERT_EQ(rig.sends.back().server, hung);
   rig.advance(60 * ms);
-  rig.query(1, 0, 4000 * ms, "quiet");
+  rig.query(1, 0, 4000 * ms, kSameServerKey);
+  // Rejected parts are sent again, so that the number of sends grows in the loop.
   for (std::size_t k = rig.sends.size() - 1; k < rig.sends.size(); ++k)
     if (rig.sends[k].server == hung) rig.finish(k, Outcome::busy);
   serveOthers(rig, hung, 6);
@@ -480,31 +490,31 @@
   EXPECT_EQ(serveOthers(rig, hung, 20), 0u);
 }
 
-// Rejects the parts sent to the first `refusing` of ten servers as busy while the token bucket is empty.
+// Rejects the parts sent to the first `rejecting` of ten servers as busy while the token bucket is empty.
 // Returns how many of them are sent again at once.
-std::size_t resentAfterRefusals(int refusing) {
+std::size_t resentAfterRejections(int rejecting) {
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(10));
   rig.warmUp(9, 50 * ms);  // less than one token
   std::set<std::string> busyServers;
-  for (int k = 0; k < refusing; ++k) busyServers.insert("s" + std::to_string(k));
-  std::size_t refused = 0, resent = 0;
+  for (int k = 0; k < rejecting; ++k) busyServers.insert("s" + std::to_string(k));
+  std::size_t rejected = 0, resent = 0;
   for (int k = 0; k < 30; ++k) {
     rig.query(1, 0, 4000 * ms, "r" + std::to_string(k));
     const std::size_t at = rig.sends.size() - 1;
     if (!busyServers.contains(rig.sends[at].server)) continue;
     rig.finish(at, Outcome::busy);
-    ++refused;
+    ++rejected;
     resent += rig.sends.size() > at + 1;
   }
-  EXPECT_GT(refused, 1u);
+  EXPECT_GT(rejected, 1u);
   return resent;
 }
 TEST(Health, RejectedPartsAreRetriedWithoutATokenOnlyWhileFewServersReject) {
   // Guards against parts that wait for a token after a rejection by an overloaded or hung server. In a burst
   // that many servers reject, resending would add load; it then needs a token.
-  EXPECT_GE(resentAfterRefusals(1), 1u);
-  EXPECT_LE(resentAfterRefusals(10), 3u);
+  EXPECT_GE(resentAfterRejections(1), 1u);
+  EXPECT_LE(resentAfterRejections(10), 3u);
 }
 
 std::vector<ServerEntry> twoZones() {
@@ -565,8 +575,6 @@
   EXPECT_GT(withZoneOneLost(rig, 3, true), 3u);
 }
 
-// ---- Suspects: whether the server, the connection or the query caused a failed attempt ----
-
 TEST(Suspects, AResetEjectsTheServerOnlyIfTheConnectionWasInUse) {
   // Guards against ejecting servers throughout the fleet when a middlebox silently drops idle connections.
   for (const Micros pause : {3000 * ms, 50 * ms}) {
@@ -575,7 +583,7 @@
     rig.warmUp(30, 50 * ms);
     const std::string server = serveOneQuery(rig);
     rig.advance(pause);
-    rig.query(1, 0, 4000 * ms, "quiet");
+    rig.query(1, 0, 4000 * ms, kSameServerKey);
     ASSERT_EQ(rig.sends.back().server, server);
     rig.finish(rig.sends.size() - 1, Outcome::reset);
     const bool ejected = serveOthers(rig, server, 20) == 0;
@@ -774,6 +782,8 @@
 }
 
 TEST(Suspects, QueriesWithPartsInALostZoneAreServed) {
+  // Guards against abandoning harmless queries as poison because several of their servers fail: one answered
+  // part shows that the query is harmless.
   AggregatorRig rig(plainSettings());
   rig.servers(fleet(9));
   rig.warmUp(60, 50 * ms);
@@ -879,8 +889,8 @@
 }
 
 TEST(Health, ASlowHomeServerIsAvoidedAfterFewSamplesAndUsedAgainWhenTheseAreOld) {
-  // Guards against home servers that are slow for this front node alone, and answer it only once in ten
-  // seconds, so that it has few latencies of each. The cause may be the machine, its neighbours or the link.
+  // Guards against home servers that are slow only for this mixer, because of the machine, its neighbors or
+  // the link. A mixer that receives an answer from each only every ten seconds has few samples.
   Settings set = plainSettings();
   set.mayHedge = false;
   AggregatorRig rig(set);
@@ -888,7 +898,7 @@
   rig.warmUp(40, 50 * ms);
   const std::string slow = serveOneQuery(rig);
   for (int k = 0; k < 4; ++k) {
-    rig.query(1, 0, 4000 * ms, "quiet");
+    rig.query(1, 0, 4000 * ms, kSameServerKey);
     const std::size_t at = rig.sends.size() - 1;
     if (rig.sends[at].server != slow) break;
     rig.advance(450 * ms);
@@ -896,14 +906,14 @@
   }
   int sentToHome = 0;
   for (int k = 0; k < 10; ++k) {
-    rig.query(1, 0, 4000 * ms, "quiet");
+    rig.query(1, 0, 4000 * ms, kSameServerKey);
     sentToHome += rig.sends.back().server == slow;
     rig.advance(50 * ms);
     rig.finish(rig.sends.size() - 1);
   }
   EXPECT_LE(sentToHome, 1);
   rig.advance(40000 * ms);
-  rig.query(1, 0, 4000 * ms, "quiet");
+  rig.query(1, 0, 4000 * ms, kSameServerKey);
   EXPECT_EQ(rig.sends.back().server, slow);
 }
 
@@ -972,8 +982,6 @@
   EXPECT_EQ(rig.sends.size(), before + 3);
 }
 
-// ---- Latency: the hedge delay ----
-
 TEST(Latency, AHedgeIsSentAtTheLastMomentAtWhichItCanBeInTime) {
   // Guards against a hedge delay that exceeds the time that a client with a short deadline has left.
   AggregatorRig rig(plainSettings());
@@ -1027,11 +1035,9 @@
   rig.warmUp(1000, 20 * ms);
   const std::size_t before = rig.sends.size();
   rig.warmUp(30, 300 * ms);
-  EXPECT_LE(rig.sends.size() - before, 30u + 8u);  // 14 without the short window
+  EXPECT_LE(rig.sends.size() - before, 30u + 8u);  // without the short window, 12 hedges are sent
 }
 
-// ---- Discovery ----
-
 TEST(Discovery, AskedAtOnceAndAgainAfterAFailure) {
   Settings set = plainSettings();
   set.mustAskDiscovery = true;
@@ -1054,8 +1060,6 @@
   EXPECT_EQ(rig.subscribeCount, 0);
 }
 
-// ---- Admission ----
-
 TEST(Admission, TrafficBeyondATenantsShareIsRefusedFirstAndWithAHint) {
   Settings set = plainSettings();
   set.tenants = {{1.0}, {1000.0}};
@@ -1112,8 +1116,6 @@
   EXPECT_EQ(rig.sends.size(), before + 1);
 }
 
-// ---- Determinism ----
-
 TEST(Determinism, TheSameEventsGiveTheSameActions) {
   const auto run = [] {
     AggregatorRig rig(plainSettings());
@@ -1128,10 +1130,10 @@
   EXPECT_EQ(run(), run());
 }
 
-// Rejected parts waste the work for the other parts of their query. An instance of a large fleet sees few of
-// them, but must admit fewer queries while servers reject parts, and all queries soon afterwards. An instance
-// of a small fleet must not react to the same few rejections.
 TEST(Admission, WhileServersRejectPartsALargeFleetAdmitsFewerQueriesAndAllOfThemAfterwards) {
+  // Guards against rejected parts, which waste the work for the other parts of their query. An instance of a
+  // large fleet sees few of them, but must admit fewer queries while servers reject parts, and all queries
+  // soon afterwards. An instance of a small fleet must not react to the same few rejections.
   for (const int instances : {300, 1}) {
     Settings set = plainSettings();
     set.instances = instances;
@@ -1140,7 +1142,7 @@
     rig.warmUp(30, 20 * ms);
     std::size_t nextToEnd = rig.sends.size();
     // Returns how many queries of eight parts, and of one part, were refused on arrival.
-    const auto run = [&](int queries, std::size_t refusedOneIn) {
+    const auto run = [&](int queries, std::size_t rejectOneIn) {
       std::pair<int, int> refusedOnArrival;
       const auto refused = [&](int parts) {
         const std::size_t before = rig.refusals.size();
@@ -1153,7 +1155,7 @@
         rig.advance(20 * ms);
         for (; nextToEnd < rig.sends.size(); ++nextToEnd)
           rig.finish(nextToEnd,
-                     refusedOneIn > 0 && nextToEnd % refusedOneIn == 0 ? Outcome::busy : Outcome::done);
+                     rejectOneIn > 0 && nextToEnd % rejectOneIn == 0 ? Outcome::busy : Outcome::done);
         rig.advance(80 * ms);
       }
       return refusedOnArrival;
