--- a/src/aggregator.cpp
+++ b/src/aggregator.cpp
@@ -56,7 +56,7 @@
 
 // Outlier ejection of servers. A server is ejected when it has sent neither done nor error for an outstanding
 // part for kSilentHedgeDelays hedge delays, when an attempt times out without any response since it was sent,
-// or when a connection to it fails or is reset (except as in noteActiveReset() and noteIdleFailure()). A part
+// or when a connection to it fails or is reset (except as in survivesResets() and noteIdleFailure()). A part
 // that it fails or rejects counts as a latency of kFailureLatencyFactor times the median.
 constexpr double kSilentHedgeDelays = 2.0;
 constexpr double kFailureLatencyFactor = 5.0;
@@ -654,7 +654,7 @@
   // Records a reset of a connection in use. Returns true if it should not eject the server: several servers
   // have recently sent done or error soon after a reset, so resets do not indicate failed servers, and it is
   // the first reset of this server since its last done or error.
-  bool noteActiveReset(Server& s) {
+  bool survivesResets(Server& s) {
     const bool again = s.activeResetAt > s.lastDoneOrErrorAt && s.activeResetAt < now;
     s.activeResetAt = now;
     return !again && countServersWithin(&Server::survivedResetAt, kResetSpan) >= kMinResetServers;
@@ -1079,7 +1079,7 @@
           if (q.resets == 1) noteIdleFailure(s, a.idleTime);  // once a query: it may be poison
           break;
         }
-        if (e.outcome == Outcome::reset && noteActiveReset(s)) break;
+        if (e.outcome == Outcome::reset && survivesResets(s)) break;
         eject(s, "connection failed or reset, or no response before the time-out");
         break;
     }
