--- a/src/aggregator.cpp
+++ b/src/aggregator.cpp
@@ -56,8 +56,9 @@
 
 // Outlier ejection of servers. A server is ejected when it has sent neither done nor error for an outstanding
 // part for kSilentHedgeDelays hedge delays, when an attempt times out without any response since it was sent,
-// or when a connection to it fails or is reset (except as in survivesResets() and noteIdleFailure()). A part
-// that it fails or rejects counts as a latency of kFailureLatencyFactor times the median.
+// or when a connection to it fails or is reset. Exceptions: a reset of a connection that had been idle, and
+// survivesResets(). A part that it fails or rejects counts as a latency of kFailureLatencyFactor times the
+// median.
 constexpr double kSilentHedgeDelays = 2.0;
 constexpr double kFailureLatencyFactor = 5.0;
 constexpr double kEwmaWeight = 0.2;          // weight of the newest sample in a moving average
