--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -5,6 +5,7 @@
 namespace cometdeal::net {
 
 void Counters::print(std::FILE* to) const {
+  // In the order of Counter.
   static constexpr std::array<const char*, static_cast<std::size_t>(Counter::number)> names = {
       "client_connections",
       "client_connections_shed",
@@ -41,6 +42,7 @@
       "phases_second_cut",
       "phases_second_skipped",
       "phases_second_failed"};
+  // In the order of Outcome.
   static constexpr std::array<const char*, static_cast<std::size_t>(Outcome::skipped) + 1> outcomes = {
       "done", "error", "busy", "timed_out", "connect_failed", "reset", "cancelled", "skipped"};
   for (std::size_t i = 0; i < names.size(); ++i)
--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -17,41 +17,43 @@
   badRequests,            // malformed or not allowed
   queriesTaken,           // submitted, including those in queriesRefusedFull
   queriesRefusedFull,     // rejected because maxOpen was reached
-  answeredWhole,          // served with a complete answer
-  answeredPartly,         // served with a partial answer
+  answeredComplete,       // served with a complete answer
+  answeredPartial,        // served with a partial answer
   refused,                // queries refused by the decision module
   failed,                 // queries failed by the decision module or by their plan
   clientsGone,            // queries whose client disconnected
-  backstops,              // queries that the decision module left open until their deadline
+  backstops,              // queries that the decision module had not ended shortly before their deadline
   defects,                // internal inconsistencies
-  sends,                  // attempts begun
+  sends,                  // attempts started by the decision module, without skipped ones
   forwards,               // parts written completely to a leaf server
   cancels,                // attempts cancelled by the decision module
   withdrawn,              // attempts withdrawn before any byte of them was sent
   lateAnswers,            // answers to attempts that had already ended, and repeated answers
-  badFrames,              // malformed or incomplete frames from leaf servers
-  leafConnections,        // opened
+  badFrames,              // malformed, incomplete or unexpected frames from leaf servers
+  leafConnections,        // connection attempts to leaf servers
   leafConnectsFailed,     // ended before they were established
   leafConnectionsLost,    // ended unexpectedly after they were established
-  leafConnectionsSilent,  // closed for being silent while a newer connection answers
+  leafConnectionsSilent,  // closed for being silent while a newer connection answers; also counted as lost
   lists,                  // valid lists from discovery
   listsMalformed,
   discoveryFailures,
   acceptFailures,
   reloads,
   reloadsFailed,
-  turns,                // calls of the decision module
+  turns,                // calls to the decision module
   phasesFirstEarly,     // first phases ended before all parts had answered, to leave time for the second
-  phasesSecondWhole,    // second phases begun with all the parts that the rule picks
+  phasesSecondWhole,    // second phases begun with all the parts that the plan's rule selects
   phasesSecondCut,      // second phases begun with fewer parts, for lack of time
   phasesSecondSkipped,  // second phases not begun
   phasesSecondFailed,   // second phases that failed
   number,               // number of counters
 };
 
-// Ended requests of one class: served, refused and failed.
+// Ended queries of one class.
 struct ClassCounts {
-  std::uint64_t succeeded = 0, declined = 0, aborted = 0;
+  std::uint64_t succeeded = 0;  // served
+  std::uint64_t declined = 0;   // refused
+  std::uint64_t aborted = 0;    // failed, or the client disconnected
 };
 
 class Counters {
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -1,6 +1,6 @@
-// All deadlines of the process, with the callbacks to run. Does no I/O and reads no clock: the loop runs the
-// due entries once a turn and sleeps until the earliest. A module with a timer queue of its own registers
-// only its earliest entry here (see Alarm).
+// All timers of the process, with the callbacks to run. Does no I/O and reads no clock: the loop runs the
+// due timers once a turn and sleeps until the earliest. A module with a timer queue of its own registers
+// only its earliest timer here (see Alarm).
 #pragma once
 
 #include <functional>
--- a/src/core/digest.hpp
+++ b/src/core/digest.hpp
@@ -1,5 +1,6 @@
 // Serializes a state for the model checker: equal states give equal bytes, independent of memory addresses.
-// Times are stored relative to now, so that states that differ only in when they were reached are equal.
+// Times are stored relative to now, so that states that differ only in when they were reached are equal. The
+// caller hashes the result.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
--- a/src/core/fault_injection.hpp
+++ b/src/core/fault_injection.hpp
@@ -1,5 +1,5 @@
-// Faults that the model checker can inject into the state machines, to show that it would find them. In the
-// serving programs FAULT_INJECTED is a compile-time false; only the checker's copy of the code can enable a
+// Faults that the model checker can inject into the state machines, to show that it would find them. In
+// production code FAULT_INJECTED is a compile-time false; only the code compiled for the checker can enable a
 // fault.
 #pragma once
 
@@ -9,29 +9,30 @@
   none,
   // Parts queued on a connection are not withdrawn at the final answer.
   sendAfterAnswer,
-  // The answer to an abandoned attempt ends the newer attempt of the part.
+  // A late answer to an abandoned attempt ends the newer attempt of the part.
   lateReplyCounts,
   // An attempt that timed out ends a second time when its connection ends.
   stallMeetsTimeout,
-  // A part that is sent in the turn in which a drain is reported is written to the draining server.
+  // A part that is sent in the turn in which a drain is reported is still written to the draining server.
   drainCrossesSend,
   // A slot is reused with its old generation.
   slotWithoutNewGeneration,
-  // An attempt ends as not connected even if its frame was written completely.
+  // An attempt ends as connectFailed instead of reset even if its frame was written completely.
   resetTakenForConnect,
   // A newer attempt of a part may use a connection on which the answer to an older one may still arrive.
   sharedId,
   // The client's disconnect and the answer both end the query.
   answerTwice,
-  // The limit on attempts and the repeat window are ignored.
+  // The limit on attempts and the limits on repeats (effect of the class, repeat window) are ignored.
   keyedAgain,
-  // An answer counts for the first attempt on its connection, whatever its id.
+  // An answer is accepted for the first part on its connection, whatever its id.
   foreignValue,
   // An attempt that is withdrawn in the turn that created it still counts as outstanding.
   leakOnWithdraw,
-  // No backstop ends a query that the decision module leaves open.
+  // There is no backstop, so a query that the decision module leaves open never ends.
   lateBackstop,
-  // A phase that expects no further answers is answered from those that arrived, however few.
+  // A query in phases that expects no further answers is answered from those that arrived, even if they are
+  // below the minimum share.
   shortAnswer,
   // A query in phases keeps its evaluation timer when it ends.
   lookAfterEnd,
--- a/src/core/interfaces.hpp
+++ b/src/core/interfaces.hpp
@@ -25,22 +25,22 @@
 struct NewQuery {
   std::string id;
   int cls = 0;                                // index of its class
-  std::optional<std::string> key;             // what the query is about, see QueryArrived
+  std::optional<std::string> key;             // routing key, see QueryArrived::key
   std::optional<std::string> idempotencyKey;  // in keyed classes
   Micros deadline = 0;                        // the client's deadline
   bool repeated = false;                      // the client has sent this query before
   std::vector<QueryPart> parts;
   std::string text;                    // what is sent to the leaf servers
   std::shared_ptr<Exchange> exchange;  // used in place of `text` if the request or the answer is streamed
-  // For a query in phases. Without a plan the query has one step, or two if its class says so. If the first
-  // phase of the plan has a text of its own, `text` is for the second phase.
+  // For a query in phases. Without a plan the query has one step, or two if its class has a second step. If
+  // the first phase of the plan has a text of its own, `text` is for the second phase.
   std::shared_ptr<const phases::Plan> plan;
 };
-struct Row {  // the answer to one part
+struct Row {  // one part's contribution to the final answer
   int shard = 0;
   std::string value;
-  std::shared_ptr<MessageReader>
-      reply;  // in place of `value` if the answer is streamed; may be incomplete yet
+  // In place of `value` if the answer is streamed; may still be incomplete.
+  std::shared_ptr<MessageReader> reply;
 };
 struct FinalAnswer {
   enum class Kind { served, refused, failed };
@@ -53,28 +53,30 @@
 };
 
 // ---- Leaf sides ------------------------------------------------------------------------------------------
-// One attempt to have a part answered by a leaf server. The leaf side refers to it by the handle of the
-// attempt.
+// One attempt to have a part answered by a leaf server; several of them may be sent in one call (frame). The
+// leaf side refers to it by the handle of the attempt.
 struct Call {
   Handle attempt;
   std::string id;  // of the part
   int shard = 0;
-  // Appended to the comma-separated list that is sent with the part, after the time; begins with a comma.
+  // Appended to the comma-separated list that is sent with the part, after the field d= (time left); begins
+  // with a comma.
   std::string extraFields;
   std::shared_ptr<const std::string> text;
-  Micros deadline = 0;         // when the mixer stops waiting for the answer
-  Micros startBy = INT64_MAX;  // sending must begin before then: leaf servers drop no repeats afterwards
-  int attemptNumber = 0;       // of this attempt among those of the part, from 0
+  Micros deadline = 0;  // when the mixer stops waiting for the answer
+  Micros startBy =
+      INT64_MAX;  // sending must begin before then: afterwards leaf servers no longer recognize repeats
+  int attemptNumber = 0;  // of this attempt among those of the part, from 0
   std::shared_ptr<Exchange> exchange;
 };
 struct LeafAnswer {
   std::string id;                   // of the part
   Outcome outcome = Outcome::done;  // done, error or busy
-  long double score = 0;            // represents every 64-bit integer exactly
+  long double score = 0;            // represents every 64-bit integer exactly (x86; checked by net_test)
   std::optional<LoadReport> load;
   std::string value;
-  std::shared_ptr<MessageReader>
-      reply;  // in place of `value` if the answer is streamed; may be incomplete yet
+  // In place of `value` if the answer is streamed; may still be incomplete.
+  std::shared_ptr<MessageReader> reply;
 };
 
 // Sends parts to leaf servers and reports how the attempts end.
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -7,8 +7,8 @@
 
 namespace cometdeal::net {
 namespace {
-// Limits in lines. The log may be stored on a disk that is backed by memory; a repeating fault must not fill
-// it.
+// Token bucket: burst in lines, refill in lines per second. The log may be stored on a disk that is backed by
+// memory; a repeating fault must not fill it.
 constexpr double kBurst = 200.0, kLinesPerSecond = 20.0;
 }  // namespace
 
--- a/src/core/log.hpp
+++ b/src/core/log.hpp
@@ -3,7 +3,8 @@
 
 namespace cometdeal::net {
 
-// Lines are cut at 511 bytes; control characters are replaced by '?'.
+// To be called from the loop's thread only. Lines are cut at 511 bytes; control characters are replaced by
+// '?'.
 [[gnu::format(printf, 1, 2)]] void logLine(const char* format, ...);
 
 }  // namespace cometdeal::net
--- a/src/core/loop.hpp
+++ b/src/core/loop.hpp
@@ -1,4 +1,4 @@
-// Event loop of the process's only thread: io_context, strand, deadlines and the turn. Turns run on request;
+// Event loop of the process's only thread: io_context, strand, timers and the turn. Turns run on request;
 // requests that arrive before the turn starts are merged into one.
 #pragma once
 
@@ -24,7 +24,7 @@
     const auto t = std::chrono::steady_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::microseconds>(t).count();
   }
-  // Schedules a turn, followed by the due deadlines, unless one is scheduled already.
+  // Schedules a turn, followed by the due timers, unless one is scheduled already.
   void requestTurn() {
     if (turnScheduled_) return;
     turnScheduled_ = true;
@@ -39,7 +39,7 @@
   boost::asio::io_context io{1};
   boost::asio::strand<boost::asio::io_context::executor_type> strand;
   Deadlines deadlines;
-  std::function<void()> turn;  // called once for each turn
+  std::function<void()> turn;  // runs one turn; set by Mixer
 
  private:
   void armTimer() {
@@ -54,7 +54,7 @@
   bool turnScheduled_ = false;
 };
 
-// Registers the earliest entry of a module's own timer queue among the loop's deadlines.
+// Registers the earliest entry of a module's own timer queue among the loop's timers.
 class Alarm {
  public:
   Alarm(Loop& loop, std::function<void()> callback) : loop_(loop), callback_(std::move(callback)) {}
--- a/src/core/message_stream.hpp
+++ b/src/core/message_stream.hpp
@@ -87,7 +87,7 @@
   }
   bool cancelled() const { return cancelled_; }
   // Registers a callback for each new piece and for the end. It runs inside the writer's call, so it should
-  // only record the news and process it later. Returns the key for unsubscribe().
+  // only note that something changed and process it later. Returns the key for unsubscribe().
   int subscribe(std::function<void()> callback) {
     listeners_.emplace(++lastListener_, std::move(callback));
     return lastListener_;
@@ -96,7 +96,9 @@
 
  private:
   void notifyListeners() {
-    const auto listeners = listeners_;  // a copy, because a callback may unregister listeners
+    // A copy, because a callback may unregister listeners. A listener that an earlier callback unregisters is
+    // still called this time.
+    const auto listeners = listeners_;
     for (const auto& [key, callback] : listeners) callback();
   }
   void discardConsumed() {
@@ -121,8 +123,8 @@
   int lastListener_ = 0;
 };
 
-// A reader's share of the message. When the last owner releases it, the writer is notified through
-// onCancelled.
+// Owning handle of the reading end. Its destruction cancels the message; the writer is notified through
+// onCancelled if the message has not ended yet.
 class MessageReader {
  public:
   explicit MessageReader(std::shared_ptr<MessageStream> stream) : stream_(std::move(stream)) {}
@@ -137,8 +139,8 @@
 };
 
 // A query whose request and answer are streamed. Shared by its front, its attempts and the leaf side that
-// serves it. An attempt that ends as `done` supplies the answer, which may still be arriving: the query is
-// decided at that moment, and no further attempt is made.
+// serves it. An attempt that ends as `done` supplies the answer, which may still be arriving: from
+// then on no further attempt of the query is started.
 struct Exchange {
   explicit Exchange(bool retained) : request(retained) {}
   MessageStream request;
--- a/src/core/mixer.cpp
+++ b/src/core/mixer.cpp
@@ -22,7 +22,7 @@
       tracker_(config_, &counters),
       alarm_(loop,
              [this] {
-               // If the process was suspended, the module's own timers may be due as well. The module goes
+               // If the process was suspended, the module's own timers may be due as well. The module runs
                // first, so that it can end queries before a backstop does.
                tracker_.push(TimerFired{});
                turn();
@@ -48,7 +48,7 @@
 }
 
 void Mixer::processCommands() {
-  if (executing_) return;  // called from within a command: the running loop executes what it caused
+  if (executing_) return;  // re-entrant call: the outer call executes the new commands
   executing_ = true;
   executeCommands(
       tracker_, leaves_,
@@ -65,8 +65,8 @@
   if (tracker_.hasEvents()) loop_.requestTurn();
 }
 
-void Mixer::reconfigure(const Settings& settings, const HostSettings& host, int kept) {
-  const auto inUse = [&](int cls) { return cls < kept || tracker_.usesClass(cls); };
+void Mixer::reconfigure(const Settings& settings, const HostSettings& host, int retainedClasses) {
+  const auto inUse = [&](int cls) { return cls < retainedClasses || tracker_.usesClass(cls); };
   SettingsChange next =
       net::planSettingsChange(config_->settings, config_->host, settings, host, inUse, loop_.now());
   config_ =
--- a/src/core/mixer.hpp
+++ b/src/core/mixer.hpp
@@ -23,19 +23,20 @@
         std::uint64_t seed);
 
   // The interface for fronts. `answered` is called once, possibly before submit returns, unless the query is
-  // abandoned first. Returns false, without a call, if the id of the query or of one of its parts is in use.
+  // abandoned first. Returns false, without calling `answered`, if the id of the query or of one of its parts
+  // is in use.
   bool submit(NewQuery query, AnswerCallback answered, Handle& handle);
   void abandon(Handle query);                        // the client has disconnected
   bool hasLeafList() const { return hasLeafList_; }  // a non-empty list of leaf servers has been received
   std::size_t openQueries() const { return tracker_.openQueries(); }
   Aggregator::ServerCounts listed() const { return module_.serverCounts(); }
   const HostSettings& host() const { return config_->host; }
-  // The classes are by index and include those that are being removed.
+  // classes[i] is the class with index i; removed classes are included until their index is reused.
   const Settings& settings() const { return config_->settings; }
 
   // Changes the settings; open queries continue with the settings of their class from when they arrived. The
-  // indices of the first `kept` classes are never reused.
-  void reconfigure(const Settings& settings, const HostSettings& host, int kept = 0);
+  // indices of the first `retainedClasses` classes are never reused: gRPC routes refer to classes by index.
+  void reconfigure(const Settings& settings, const HostSettings& host, int retainedClasses = 0);
   // Passes a list of leaf servers on to the leaf side and the decision module.
   void updateLeafList(const LeafList& list, ListKind kind);
   // Calls the decision module with the pending events and performs its actions.
--- a/src/core/query_tracker.cpp
+++ b/src/core/query_tracker.cpp
@@ -5,8 +5,9 @@
 namespace cometdeal::net {
 namespace {
 
-// The decision module answers each query several ticks before its deadline. A query that is still open this
-// long before its deadline is failed by the backstop.
+// A query that is still open this long before its deadline is failed by the backstop. Must be less than the
+// time by which the decision module ends queries ahead of their deadline (3 ticks plus 5 ms, see
+// kAnswerMarginTicks and kAnswerMargin).
 constexpr Micros kBackstopMargin = 6'000;
 // A phase ends this many ticks, plus a margin for delivery to the client, before the time by which it must be
 // over.
@@ -40,9 +41,9 @@
   handle = queries_.add();
   Query& q = *queries_.get(handle);
   q.request = std::move(request);
-  const bool ownText = q.request.plan && !q.request.plan->phases[0].text.empty();
-  q.text = ownText ? std::make_shared<const std::string>(q.request.plan->phases[0].text)
-                   : std::make_shared<const std::string>(std::move(q.request.text));
+  const bool phaseHasText = q.request.plan && !q.request.plan->phases[0].text.empty();
+  q.text = phaseHasText ? std::make_shared<const std::string>(q.request.plan->phases[0].text)
+                        : std::make_shared<const std::string>(std::move(q.request.text));
   q.group = ++lastGroup_;
   queriesById_[q.request.id] = handle;
   ++openQueries_;
@@ -64,10 +65,10 @@
     // request, so the time already spent is deducted.
     const Micros left = q.request.deadline - now_;
     const Micros spent = q.request.repeated ? std::max<Micros>(0, cls.deadline - left) : 0;
-    q.phaseState = PhaseState{};
-    q.phaseState->startedAt = q.phaseState->stepStartedAt = now_;
-    q.phaseState->aim = now_ + std::max<Micros>(0, cls.aim - spent);
-    q.phaseState->firstParts = q.request.parts.size();
+    q.phaseProgress = PhaseProgress{};
+    q.phaseProgress->startedAt = q.phaseProgress->stepStartedAt = now_;
+    q.phaseProgress->aim = now_ + std::max<Micros>(0, cls.aim - spent);
+    q.phaseProgress->firstParts = q.request.parts.size();
     queueEvaluation(handle, q);
   }
   for (const QueryPart& p : q.request.parts) {
@@ -78,7 +79,7 @@
     partsById_[part.id] = {handle, q.parts.size()};
     q.parts.push_back(std::move(part));
   }
-  if (q.phaseState) {
+  if (q.phaseProgress) {
     event.timeLeft = phaseTimes(q).deadline;
     event.terms = stepTerms(q);
   }
@@ -111,7 +112,8 @@
   return INT64_MAX;
 }
 
-// Whether the rules allow one more attempt; checked independently of the decision module.
+// Whether the attempt limit and the effect of the class allow one more attempt; enforced here whatever the
+// decision module asks for.
 bool QueryTracker::mayAttempt(const Query& q, const Part& part) const {
   const std::optional<int> maximum = config_->settings.maxAttempts;
   if (maximum && int(part.attempts.size()) >= *maximum && !FAULT_INJECTED(keyedAgain)) return false;
@@ -123,7 +125,7 @@
 void QueryTracker::apply(const Send& a) {
   const auto it = partsById_.find(a.part);
   Query* q = it == partsById_.end() ? nullptr : queries_.get(it->second.first);
-  if (!q) return defect("the module sends an unknown part", a.part);
+  if (!q) return defect("decision module sent a part that does not exist", a.part);
   const std::size_t index = it->second.second;
   Part& part = q->parts[index];
   const int number = int(part.attempts.size());
@@ -155,7 +157,7 @@
 void QueryTracker::flushCalls() {
   for (auto& [server, calls] : std::exchange(turnCalls_, {})) {
     std::erase_if(calls, [&](const Call& call) {
-      Attempt* attempt = attempts_.get(call.attempt);  // null: abandoned in this turn
+      Attempt* attempt = attempts_.get(call.attempt);  // null: the attempt ended within this turn
       if (attempt) attempt->unsent = false;
       return !attempt;
     });
@@ -188,21 +190,21 @@
   Handle h;
   Query* q = openQuery(a.query, h);
   if (!q) return;
-  if (q->phaseState) {
-    q->phaseState->exhausted = true;
+  if (q->phaseProgress) {
+    q->phaseProgress->exhausted = true;
     return evaluatePhase(h);
   }
   if (q->step == 1 && classOf(*q).secondStepParts > 0) return beginSecondStep(h, *q, a.complete);
   finish(h, servedAnswer(*q, q->stepFirstPart, q->parts.size(), a.complete));
 }
 
-FinalAnswer QueryTracker::servedAnswer(Query& q, std::size_t from, std::size_t to, bool whole) {
+FinalAnswer QueryTracker::servedAnswer(Query& q, std::size_t from, std::size_t to, bool complete) {
   FinalAnswer answer;
   answer.kind = FinalAnswer::Kind::served;
-  answer.complete = whole;
+  answer.complete = complete;
   for (std::size_t k = from; k < to; ++k)
     if (q.parts[k].done) answer.rows.push_back({q.parts[k].shard, q.parts[k].value, q.parts[k].reply});
-  count(whole ? Counter::answeredWhole : Counter::answeredPartly);
+  count(complete ? Counter::answeredComplete : Counter::answeredPartial);
   return answer;
 }
 
@@ -239,18 +241,18 @@
 
 // Starts the second step of a class without a phase plan: fetches from the `secondStepParts` shards with the
 // highest scores among those that have answered.
-void QueryTracker::beginSecondStep(Handle h, Query& q, bool whole) {
+void QueryTracker::beginSecondStep(Handle h, Query& q, bool complete) {
   phases::Phase fetch;
   fetch.prune.rule = phases::PruneRule::top;
   fetch.prune.maxShards = classOf(q).secondStepParts;
   const phases::Selection selection = phases::selectShards(fetch, stepParts(q));
   if (selection.indices.empty())
-    return defect("the module answers a query of which no part is answered", q.request.id);
-  beginStep(h, q, selection.indices, whole);
+    return defect("decision module answered a query none of whose parts has an answer", q.request.id);
+  beginStep(h, q, selection.indices, complete);
 }
 
-// `ask`: indices into the parts of the first step.
-void QueryTracker::beginStep(Handle h, Query& q, const std::vector<std::size_t>& ask, bool whole) {
+// `selected`: indices into the parts of the first step.
+void QueryTracker::beginStep(Handle h, Query& q, const std::vector<std::size_t>& selected, bool complete) {
   std::vector<int> answered;
   for (const Part& p : q.parts)
     if (p.done) answered.push_back(p.shard);
@@ -258,26 +260,27 @@
   for (const int shard : answered)
     q.firstStepShards += (q.firstStepShards.empty() ? "" : "+") + std::to_string(shard);
   q.step = 2;
-  q.firstComplete = whole;
-  openUnits_ += int(ask.size()) - openParts(q);
+  q.firstComplete = complete;
+  openUnits_ += int(selected.size()) - openParts(q);
   q.stepFirstPart = q.parts.size();
-  q.parts.reserve(q.parts.size() + ask.size());
-  for (const std::size_t index : ask) {
+  q.parts.reserve(q.parts.size() + selected.size());
+  for (const std::size_t index : selected) {
     const Part& first = q.parts[index];
     Part part;
     part.id = q.request.id + "." + std::to_string(first.shard) + ".fetch";
     part.shard = first.shard;
-    part.weight = q.phaseState ? first.weight : 1.0 / double(ask.size());
+    // Without a plan, parts of the second step have equal weights.
+    part.weight = q.phaseProgress ? first.weight : 1.0 / double(selected.size());
     part.server = first.server;
     partsById_[part.id] = {h, q.parts.size()};
     q.parts.push_back(std::move(part));
   }
-  if (q.phaseState) push(StepBegan{q.request.id, int(ask.size()), stepTerms(q)});
-  // In queries in phases, the server that answered a part in the first phase has the data for the second
-  // phase at hand, so the module is asked to prefer it.
+  if (q.phaseProgress) push(StepBegan{q.request.id, int(selected.size()), stepTerms(q)});
+  // In queries in phases, the server that answered a part in the first phase already holds the data for
+  // the second phase, so the module is asked to prefer it.
   for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k) {
     const Part& p = q.parts[k];
-    push(PartArrived{p.id, q.group, p.shard, p.weight, q.phaseState ? p.server : std::string()});
+    push(PartArrived{p.id, q.group, p.shard, p.weight, q.phaseProgress ? p.server : std::string()});
   }
 }
 
@@ -287,15 +290,15 @@
   const ClassSettings& cls = classOf(q);
   // If an answer after the aim is worth nothing, the aim is the deadline.
   const Micros until =
-      cls.lateShare > 0 ? q.request.deadline : std::min(q.request.deadline, q.phaseState->aim);
+      cls.lateShare > 0 ? q.request.deadline : std::min(q.request.deadline, q.phaseProgress->aim);
   const Micros margin = kPhaseMarginTicks * config_->settings.tick + kPhaseDeliveryMargin;
-  return {now_, q.phaseState->startedAt, std::min(q.phaseState->aim, until), until, margin};
+  return {now_, q.phaseProgress->startedAt, std::min(q.phaseProgress->aim, until), until, margin};
 }
 
 phases::PhaseTimeEstimator QueryTracker::phaseTimeEstimator(const Query& q) const {
-  return [this, &q](int phase, std::size_t parts, double chance) {
-    return phaseTimeOverride ? phaseTimeOverride(q.request.id, phase, parts, chance)
-                             : latencies_.timeForAll(q.request.cls, phase, parts, chance, now_);
+  return [this, &q](int phase, std::size_t parts, double probability) {
+    return phaseTimeOverride ? phaseTimeOverride(q.request.id, phase, parts, probability)
+                             : latencies_.timeForAll(q.request.cls, phase, parts, probability, now_);
   };
 }
 
@@ -314,30 +317,30 @@
 }
 
 void QueryTracker::queueEvaluation(Handle h, Query& q) {
-  if (std::exchange(q.phaseState->evaluationQueued, true)) return;
+  if (std::exchange(q.phaseProgress->evaluationQueued, true)) return;
   evaluationQueue_.push_back(h);
 }
 
 // For each part that was sent and has not answered, records the time since the start of the step as a lower
 // bound of its latency.
-void QueryTracker::recordCutOffLatencies(const Query& q) {
+void QueryTracker::recordCensoredLatencies(const Query& q) {
   for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k)
     if (!q.parts[k].done && !q.parts[k].attempts.empty())
-      latencies_.add(q.request.cls, q.step - 1, now_ - q.phaseState->stepStartedAt, now_, true);
+      latencies_.add(q.request.cls, q.step - 1, now_ - q.phaseProgress->stepStartedAt, now_, true);
 }
 
-// Decides whether the current phase ends, and begins the second phase or answers the query if so. All phases
-// end here.
+// Decides whether the current phase ends, and begins the second phase or answers the query if so. Phases
+// end here unless the query itself is ended from outside.
 void QueryTracker::evaluatePhase(Handle h) {
   Query* q = queries_.get(h);
   if (!q || q->ended) return;
-  PhaseState& state = *q->phaseState;
+  PhaseProgress& state = *q->phaseProgress;
   state.evaluationQueued = false;
   timers_.cancel(state.evaluationTimer);
   const phases::Plan& plan = *q->request.plan;
   const phases::PhaseState phaseState{q->step - 1, stepParts(*q), state.exhausted};
   phases::Step step = phases::nextStep(plan, phaseState, phaseTimes(*q), phaseTimeEstimator(*q));
-  if (FAULT_INJECTED(shortAnswer) && state.exhausted && step.kind == phases::Step::Kind::blocked)
+  if (FAULT_INJECTED(shortAnswer) && state.exhausted && step.kind == phases::Step::Kind::fail)
     step.kind = phases::Step::Kind::answer;
   using Kind = phases::Step::Kind;
   if (step.kind == Kind::wait && !state.exhausted) {
@@ -345,7 +348,7 @@
       state.evaluationTimer = timers_.add(step.recheckAt, {Timer::Kind::phase, h});
     return;
   }
-  recordCutOffLatencies(*q);
+  recordCensoredLatencies(*q);
   if (q->step == 1) {
     state.account.firstPhaseEnded(plan, phaseState.parts, step);
     if (step.phaseEnd == phases::Step::PhaseEnd::early) count(Counter::phasesFirstEarly);
@@ -381,7 +384,7 @@
   finish(h, std::move(answer));
 }
 
-// All attempts end here.
+// Every attempt that was started ends here; skipped ones are reported by apply(Send).
 void QueryTracker::attemptEnded(Handle h, Outcome outcome, LeafAnswer answer) {
   Attempt* attempt = attempts_.get(h);
   if (!attempt) return;  // has already ended
@@ -396,10 +399,10 @@
       outcome != Outcome::busy && outcome != Outcome::connectFailed && outcome != Outcome::skipped;
   if (outcome == Outcome::done && !part.done && !q->ended && endedAttempt.part >= q->stepFirstPart) {
     part.done = true;
-    --openUnits_;  // counting answered parts would reject queries although there is capacity for them
+    --openUnits_;  // an answered part uses no capacity; counting it would reject queries too early
     part.server = endedAttempt.server;
-    if (q->phaseState) {
-      latencies_.add(q->request.cls, q->step - 1, now_ - q->phaseState->stepStartedAt, now_);
+    if (q->phaseProgress) {
+      latencies_.add(q->request.cls, q->step - 1, now_ - q->phaseProgress->stepStartedAt, now_);
       queueEvaluation(endedAttempt.query, *q);
     }
     part.score = answer.score;
@@ -425,13 +428,14 @@
   }
   q.ended = true;
   timers_.cancel(q.backstop);
-  if (q.phaseState && !FAULT_INJECTED(lookAfterEnd)) timers_.cancel(q.phaseState->evaluationTimer);
+  if (q.phaseProgress && !FAULT_INJECTED(lookAfterEnd)) timers_.cancel(q.phaseProgress->evaluationTimer);
   std::vector<Handle> unsent;
   for (Part& p : q.parts) {
     p.reply.reset();
     for (const AttemptRecord& record : p.attempts) {
       answer.mayHaveRun = answer.mayHaveRun || record.mayHaveRun;
       const Attempt* attempt = attempts_.get(record.attempt);
+      // The queries can differ only with the injected fault slotWithoutNewGeneration.
       if (!attempt || attempt->query != h) continue;
       if (attempt->unsent)
         unsent.push_back(record.attempt);
@@ -440,12 +444,12 @@
     }
   }
   if (report) commands_.push_back(Final{h, std::move(answer)});
-  for (const Handle one : unsent) {
+  for (const Handle attempt : unsent) {
     count(Counter::withdrawn);
     if (FAULT_INJECTED(leakOnWithdraw))
-      attempts_.remove(one);
+      attempts_.remove(attempt);
     else
-      attemptEnded(one, Outcome::cancelled, {});
+      attemptEnded(attempt, Outcome::cancelled, {});
   }
   releaseIfSettled(h);
 }
@@ -470,7 +474,7 @@
     } else if (timer->kind == Timer::Kind::phase) {
       Query* q = queries_.get(timer->owner);
       if (!q || q->ended) continue;
-      q->phaseState->evaluationTimer.reset();
+      q->phaseProgress->evaluationTimer.reset();
       queueEvaluation(timer->owner, *q);
     } else if (Attempt* attempt = attempts_.get(timer->owner)) {
       attempt->timeout.reset();
@@ -547,13 +551,16 @@
           openUnits_};
 }
 
+// Leaves out members that cannot make two states of the model behave differently: weights and scores are
+// fixed there, learned latencies (and the start times of steps, which only serve them) are replaced by
+// phaseTimeOverride, and the aim is never before the deadline.
 void QueryTracker::digest(Digest& to) const {
   for (const Handle h : queries_.all()) {
     const Query& q = *queries_.get(h);
     to << q.request.id << q.request.cls << q.ended << q.step << q.firstComplete << q.firstStepShards;
-    if (q.phaseState) {
-      to << q.phaseState->exhausted << q.phaseState->evaluationQueued;
-      for (const phases::PhaseAccount& p : q.phaseState->account.phases) to << p.asked << p.answered;
+    if (q.phaseProgress) {
+      to << q.phaseProgress->exhausted << q.phaseProgress->evaluationQueued;
+      for (const phases::PhaseAccount& p : q.phaseProgress->account.phases) to << p.asked << p.answered;
     }
     for (const Part& p : q.parts) {
       to << p.id << p.done << p.value << std::uint32_t(p.attempts.size());
--- a/src/core/query_tracker.hpp
+++ b/src/core/query_tracker.hpp
@@ -38,7 +38,7 @@
     HostSettings host;
   };
   // Commands; the caller executes them in the order in which they were issued.
-  struct SendCalls {
+  struct SendCalls {  // see LeafSide::send
     std::string server;
     std::vector<Call> calls;
   };
@@ -108,8 +108,10 @@
 
   std::size_t openQueries() const { return openQueries_; }
 
-  // If set, replaces the learned latencies of phases, for experiments; see phases::PhaseTimeEstimator.
-  std::function<std::optional<Micros>(const std::string& query, int phase, std::size_t parts, double chance)>
+  // If set, replaces the learned latencies of phases; used by the simulation and the model checker. See
+  // phases::PhaseTimeEstimator.
+  std::function<std::optional<Micros>(const std::string& query, int phase, std::size_t parts,
+                                      double probability)>
       phaseTimeOverride;
 
   // ---- For the model checker
@@ -125,7 +127,7 @@
     std::vector<Part> parts;
   };
   std::vector<QueryView> queryViews() const;
-  Handle queryOf(Handle attempt) const;
+  Handle queryOf(Handle attempt) const;           // an invalid handle if the attempt has ended
   std::string attemptName(Handle attempt) const;  // "PART_ID#NUMBER"; empty if the attempt has ended
   struct Usage {                                  // entries in each table; all 0 once every query has settled
     std::size_t queries = 0, attempts = 0, ids = 0, timers = 0;
@@ -157,7 +159,7 @@
     std::vector<AttemptRecord> attempts;
   };
   // State of a query in phases. evaluatePhase() decides when a phase ends.
-  struct PhaseState {
+  struct PhaseProgress {
     Micros startedAt = 0, aim = 0, stepStartedAt = 0;
     bool exhausted = false;         // the decision module expects no further answers in this phase
     bool evaluationQueued = false;  // the query is in evaluationQueue_
@@ -167,16 +169,18 @@
   };
   struct Query {
     NewQuery request;
+    // Sent with the parts of the current step. submit() moves `request.text` here unless the first phase of
+    // the plan has a text of its own.
     std::shared_ptr<const std::string> text;
-    std::int64_t group = 0;
+    std::int64_t group = 0;                     // see QueryArrived
     bool ended = false, firstComplete = false;  // firstComplete: the first step ended with a complete answer
-    int step = 1;
+    int step = 1;                   // 1 or 2; in a query in phases, the phase number (0 or 1) plus 1
     std::size_t stepFirstPart = 0;  // index of the first part of the current step
     std::string firstStepShards;    // shards that had answered when the first step ended, as "0+2+5"
     std::vector<Part> parts;
     int attemptsOutstanding = 0;
     std::optional<TimerQueue<Timer>::Key> backstop;
-    std::optional<PhaseState> phaseState;
+    std::optional<PhaseProgress> phaseProgress;
   };
   struct Attempt {
     Handle query;
@@ -192,18 +196,18 @@
   Query* openQuery(const std::string& id, Handle& h);
   bool mayAttempt(const Query& q, const Part& part) const;
   Micros retryAllowedUntil(const Query& q, const Part& part) const;
-  void beginSecondStep(Handle h, Query& q, bool whole);
-  void beginStep(Handle h, Query& q, const std::vector<std::size_t>& ask, bool whole);
+  void beginSecondStep(Handle h, Query& q, bool complete);
+  void beginStep(Handle h, Query& q, const std::vector<std::size_t>& selected, bool complete);
   std::vector<phases::PartState> stepParts(const Query& q) const;  // parts of the current step
   phases::TimeLimits phaseTimes(const Query& q) const;
   phases::PhaseTimeEstimator phaseTimeEstimator(const Query& q) const;
   StepTerms stepTerms(const Query& q) const;
   void queueEvaluation(Handle h, Query& q);
   void evaluatePhase(Handle h);
-  void recordCutOffLatencies(const Query& q);
-  FinalAnswer servedAnswer(Query& q, std::size_t from, std::size_t to, bool whole);
-  void finish(Handle h, FinalAnswer answer,
-              bool report = true);  // report: issue the final answer as a command
+  void recordCensoredLatencies(const Query& q);
+  FinalAnswer servedAnswer(Query& q, std::size_t from, std::size_t to, bool complete);
+  // `report`: issue the command Final.
+  void finish(Handle h, FinalAnswer answer, bool report = true);
   void releaseIfSettled(Handle h);
   void failAtBackstop(Handle h);
   void defect(const char* what, const std::string& id);
--- a/src/core/settings.hpp
+++ b/src/core/settings.hpp
@@ -64,7 +64,8 @@
   Address address;
   int zone = 0, cell = 0;
   ServerState state = ServerState::serving;
-  std::int64_t startedUnixMs = 0;  // Unix time of the last start, in milliseconds; 0: long ago
+  std::int64_t startedUnixMs =
+      0;  // Unix time of the last start, in milliseconds; 0: not reported, the server counts as warm
 };
 struct LeafList {
   std::int64_t index = 0;     // version of the list
--- a/src/core/settings_change.cpp
+++ b/src/core/settings_change.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Clients learn of new settings later than the mixer does, so the previous rules stay valid for this long.
-constexpr Micros kLingerTime = 2'000'000;
+constexpr Micros kClassExpiryTime = 2'000'000;
 constexpr Micros kNever = INT64_MAX;
 
 }  // namespace
@@ -32,14 +32,16 @@
 
   for (std::size_t k = 0; k < oldSize; ++k)
     if (previousUntil[k] == kNever && std::ranges::count(nextHost.classNames, currentHost.classNames[k]) == 0)
-      until[k] = now + kLingerTime;
+      until[k] = now + kClassExpiryTime;
   for (std::size_t k = 0; k < next.classes.size(); ++k) {
     const std::string& name = nextHost.classNames[k];
     int old = -1;
     for (std::size_t i = 0; i < oldSize; ++i)
       if (previousUntil[i] == kNever && currentHost.classNames[i] == name) old = int(i);
     if (old >= 0 && current.classes[std::size_t(old)] == next.classes[k]) continue;
-    if (old >= 0) until[std::size_t(old)] = 0;
+    if (old >= 0) until[std::size_t(old)] = 0;  // the old index is not found by name any more
+    // The first free index: expired, in use by no query, and not assigned in this loop yet (the last
+    // condition: inheritFrom is still the index itself).
     std::size_t index = 0;
     while (index < oldSize &&
            (previousUntil[index] > now || inUse(int(index)) || out.inheritFrom[index] != int(index)))
@@ -61,12 +63,13 @@
     out.host.classKeyed[index] = nextHost.classKeyed[k];
     out.host.classRequiredShare[index] = nextHost.classRequiredShare[k];
     out.host.classMinimumShare[index] = nextHost.classMinimumShare[k];
+    // The plans file is read only at the start: a changed class keeps its plan, a new class has none.
     if (!out.host.plans.byClass.empty())
       out.host.plans.byClass[index] =
           old < 0 ? nullptr : std::shared_ptr(currentHost.plans.byClass[std::size_t(old)]);
     until[index] = kNever;
     const bool wasKeyed = old >= 0 && currentHost.classKeyed[std::size_t(old)];
-    keyFrom[index] = old >= 0 && !wasKeyed ? now + kLingerTime : 0;
+    keyFrom[index] = old >= 0 && !wasKeyed ? now + kClassExpiryTime : 0;
     out.inheritFrom[index] = old;
   }
   return out;
--- a/src/core/settings_change.hpp
+++ b/src/core/settings_change.hpp
@@ -2,11 +2,11 @@
 // class by its index, so the meaning of an index must not change while a query uses it. Pure functions, no
 // I/O.
 //
-//   index:  current -> lingering (still found by name for a while) -> in use (by its open queries) -> free
+//   index:  current -> expiring (still found by name for a while) -> in use (by its open queries) -> free
 //
 // A class whose settings do not change keeps its index. A class whose settings change gets a new index, and
-// the old index serves only its open queries. A removed class lingers. New classes reuse free indices, so the
-// number of indices is bounded by the classes of the file plus those with open queries.
+// the old index serves only its open queries. A removed class expires. New classes reuse free indices, so the
+// number of indices is bounded by the classes of the file plus those that are expiring or in use.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,7 @@
   std::vector<int> inheritFrom;
 };
 
-// Merges the settings `next`, with classes in the order of their file, into the present ones. `inUse` tells
+// Merges the settings `next`, with classes in the order of their file, into the present ones. `inUse` returns
 // whether an index is in use by a query. Times are on the loop's clock.
 SettingsChange planSettingsChange(const Settings& current, const HostSettings& currentHost,
                                   const Settings& next, const HostSettings& nextHost,
--- a/src/core/timer_queue.hpp
+++ b/src/core/timer_queue.hpp
@@ -1,4 +1,4 @@
-// Timer queue: plain entries sorted by due time. Does no I/O and reads no clock.
+// Timer queue: entries of type Item, ordered by due time, then by insertion. Does no I/O and reads no clock.
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
--- a/src/phases/account.cpp
+++ b/src/phases/account.cpp
@@ -5,7 +5,7 @@
 namespace cometdeal::phases {
 namespace {
 
-constexpr double kWeightTolerance = 1e-6;  // for rounding errors in sums of weights
+constexpr double kWeightTolerance = 1e-6;  // for rounding errors in sums of weights; as in plan.cpp
 
 void countParts(PhaseAccount& out, const std::vector<PartState>& parts) {
   for (const PartState& p : parts) {
@@ -59,7 +59,9 @@
   };
   if (!complete(0)) return false;
   if (!plan.hasSecondPhase()) return true;
+  // No shard was selected, so no second phase was needed.
   if (secondPhase == Step::SecondPhase::none) return phases[1].cut == 0 && lossless;
+  // The second phase asked all selected shards and is complete.
   return secondPhase == Step::SecondPhase::complete && lossless && phases[1].cut == 0 && complete(1);
 }
 
--- a/src/phases/account.hpp
+++ b/src/phases/account.hpp
@@ -1,5 +1,5 @@
-// The account of a query in phases that goes out with its answer: what each phase asked, what answered, what
-// was left out on purpose and what is missing. Weights are shares of the query's total weight.
+// Summary of a query in phases, sent with its answer: per phase, the parts that were asked, answered, left
+// out and missing. Weights are shares of the query's total weight.
 #pragma once
 
 #include <vector>
@@ -9,12 +9,13 @@
 namespace cometdeal::phases {
 
 struct PhaseAccount {
-  int asked = 0, answered = 0;  // parts asked and answered; the difference is missing
+  int asked = 0, answered = 0;  // parts asked, and those of them that answered; the others are missing
   double weightAsked = 0, weightAnswered = 0;
   Step::PhaseEnd phaseEnd = Step::PhaseEnd::complete;
-  // For the second phase: parts that answered the first phase and were left out by the plan's rule, because
-  // nothing matches there, or for lack of time.
-  int pruned = 0, noMatch = 0, cut = 0;
+  // For the second phase: parts that answered the first phase and were left out.
+  int pruned = 0;   // by the plan's rule
+  int noMatch = 0;  // because nothing matches there
+  int cut = 0;      // for lack of time, or because the second phase was skipped
   double weightPruned = 0, weightNoMatch = 0, weightCut = 0;
 };
 
@@ -27,7 +28,8 @@
   void firstPhaseEnded(const Plan& plan, const std::vector<PartState>& parts, const Step& step);
   void secondPhaseEnded(const std::vector<PartState>& parts, const Step& step);
 
-  // Whether nothing is missing that could have changed the answer.
+  // Whether each phase that ran is complete by the plan's share, and no shard that could have changed the
+  // answer was cut, pruned or skipped.
   bool exact(const Plan& plan) const;
 };
 
--- a/src/phases/latency.cpp
+++ b/src/phases/latency.cpp
@@ -12,6 +12,7 @@
 
 constexpr double kDecayUs = 20e6;    // the weight of a sample falls by a factor of e in this time
 constexpr double kMaxExponent = 50;  // all weights are scaled down beyond it, so that they stay finite
+// Range of the histogram, and the ratio of the bounds of a bin.
 constexpr double kShortestUs = 50, kLongestUs = 120e6, kBinRatio = 1.05;
 
 using Axis = bh::axis::regular<double, bh::axis::transform::log>;
@@ -40,6 +41,7 @@
       sum *= shrink;
       origin = now;
     }
+    // The largest value stays inside the last bin, whose upper bound is exclusive.
     bins(std::clamp(double(took), kShortestUs, kLongestUs * 0.999), bh::weight(weight(now)));
     sum += weight(now);
   }
@@ -66,8 +68,8 @@
 Latencies& Latencies::operator=(const Latencies& other) {
   if (this == &other) return *this;
   histograms_.clear();
-  for (const auto& one : other.histograms_)
-    histograms_.push_back(one ? std::make_unique<Histogram>(*one) : nullptr);
+  for (const auto& source : other.histograms_)
+    histograms_.push_back(source ? std::make_unique<Histogram>(*source) : nullptr);
   return *this;
 }
 
@@ -76,21 +78,21 @@
   return at < histograms_.size() ? histograms_[at].get() : nullptr;
 }
 
-void Latencies::add(int cls, int phase, Micros took, Micros now, bool cutOff) {
+void Latencies::add(int cls, int phase, Micros took, Micros now, bool censored) {
   const std::size_t at = std::size_t(cls) * 2 + std::size_t(phase);
   if (at >= histograms_.size()) histograms_.resize(at + 1);
   if (!histograms_[at]) histograms_[at] = std::make_unique<Histogram>();
   Histogram& h = *histograms_[at];
-  if (cutOff && (h.sum == 0 || took <= h.quantile(0.95))) return;
+  if (censored && (h.sum == 0 || took <= h.quantile(0.95))) return;
   h.add(took, now);
 }
 
-std::optional<Micros> Latencies::timeForAll(int cls, int phase, std::size_t parts, double chance,
+std::optional<Micros> Latencies::timeForAll(int cls, int phase, std::size_t parts, double probability,
                                             Micros now) const {
   const Histogram* h = histogram(cls, phase);
   if (!h || h->decayedCount(now) < kMinSamples) return std::nullopt;
   if (parts == 0) return 0;
-  return h->quantile(std::pow(chance, 1.0 / double(parts)));
+  return h->quantile(std::pow(probability, 1.0 / double(parts)));
 }
 
 }  // namespace cometdeal::phases
--- a/src/phases/latency.hpp
+++ b/src/phases/latency.hpp
@@ -18,14 +18,16 @@
   Latencies& operator=(const Latencies& other);
 
   // Records the time from the start of a phase to the answer of one of its parts, hedges and retries
-  // included. With `cutOff` the part was abandoned without an answer after `took`, so its true time is
-  // longer. Such a lower bound is recorded only above the 95th percentile, since it says nothing below.
-  void add(int cls, int phase, Micros took, Micros now, bool cutOff = false);
+  // included. With `censored` the part was abandoned without an answer after `took`, which is a lower bound
+  // of its true time. A bound is recorded only above the 95th percentile; a lower one carries no information
+  // about slow parts.
+  void add(int cls, int phase, Micros took, Micros now, bool censored = false);
 
-  // The time within which `parts` parts all answer with probability `chance` (0 to 1). Treats the times of
-  // the parts as independent, so it overestimates where one cause delays all of them. Nothing while the
+  // The time within which `parts` parts all answer with probability `probability` (0 to 1). Treats the times
+  // of the parts as independent, so it overestimates where one cause delays all of them. Nothing while the
   // decayed number of samples is below kMinSamples.
-  std::optional<Micros> timeForAll(int cls, int phase, std::size_t parts, double chance, Micros now) const;
+  std::optional<Micros> timeForAll(int cls, int phase, std::size_t parts, double probability,
+                                   Micros now) const;
 
   static constexpr double kMinSamples = 10;
 
--- a/src/phases/plan.cpp
+++ b/src/phases/plan.cpp
@@ -85,7 +85,7 @@
     while (n < maxCount && covered < prune.coverShare * answeredWeight - kWeightTolerance)
       covered += parts[order[n++]].weight;
   }
-  // The lower bounds take precedence over the rule.
+  // The lower bounds take precedence over the rule and its upper bound.
   double covered = out.noMatchWeight;
   std::size_t minimumCount = 0;
   while (minimumCount < order.size() &&
--- a/src/phases/plan.hpp
+++ b/src/phases/plan.hpp
@@ -16,6 +16,7 @@
 
 // Which of the shards that answered the first phase are asked in the second. Shards are ordered by score,
 // best first, and equal scores by shard number, so that all mixers select the same shards.
+// The values are in the order of the names in readPrune().
 enum class PruneRule : std::uint8_t {
   top,        // the best shards, as many as the upper bound allows
   threshold,  // the shards with at least `ratio` times the best score
@@ -25,8 +26,9 @@
 
 struct PruneSettings {
   PruneRule rule = PruneRule::top;
-  int maxShards = 0;  // upper bound under every rule; 0: none. The rule `top` requires one
-  int minShards = 1;  // lower bound, as far as that many shards have something to add
+  // Upper bound under every rule, unless `minimumShare` requires more; 0: none. The rule `top` requires one.
+  int maxShards = 0;
+  int minShards = 1;  // lower bound; fewer only if fewer shards have a match
   // Lower bound as a share of the query's weight. With `canMatch`, shards without a match count towards it.
   double minimumShare = 0;
   double ratio = 0;       // for `threshold`: fraction of the best score, 0 to 1
@@ -39,11 +41,11 @@
 struct Phase {
   std::string text;            // request text of its parts; empty: the query's own text
   double completeShare = 1.0;  // with this share answered the phase is complete
-  double minimumShare =
-      1.0;  // below it the query neither continues with the next phase nor answers from this one
+  // Below it the query neither continues with the next phase nor answers from this one.
+  double minimumShare = 1.0;
   double timeShare = 0.5;  // share of the query's time, used as long as no latencies have been learned
   PruneSettings prune;     // for the second phase: selects its shards
-  bool maySkip = true;     // for the second phase: the answer may come from the first phase instead
+  bool maySkip = true;     // for the second phase: may be skipped, and if it fails the first phase answers
   bool mayCut = true;      // for the second phase: may ask fewer shards than the rule selects, to be in time
 };
 
@@ -70,9 +72,10 @@
   return prune.rule == PruneRule::canMatch && score <= 0;
 }
 
+// Result of selecting the second phase's shards.
 struct Selection {
   std::vector<std::size_t> indices;  // indices into the parts, best score first
-  std::size_t minimumCount = 0;      // the first so many of them may not be cut, even if time is short
+  std::size_t minimumCount = 0;      // number of leading indices that may not be cut, even if time is short
   double noMatchWeight = 0;          // weight of the answered parts without a match
   bool minimumMet = true;            // the answered parts suffice for PruneSettings::minimumShare
   bool lossless = true;              // the shards left out could not have changed the answer
--- a/src/phases/read_plan.hpp
+++ b/src/phases/read_plan.hpp
@@ -13,8 +13,9 @@
 template <typename Node>
 PruneSettings readPrune(Node node) {
   PruneSettings out;
+  // In the order of enum PruneRule.
   out.rule = PruneRule(node.require("rule").choice({"top", "threshold", "can_match", "cover"}));
-  if (auto most = node.find("most")) out.maxShards = int(most->integer(1, 10'000));
+  if (auto maxShards = node.find("most")) out.maxShards = int(maxShards->integer(1, 10'000));
   if (auto minShards = node.find("at_least")) out.minShards = int(minShards->integer(1, 10'000));
   if (auto share = node.find("least_share")) out.minimumShare = share->number(0, 1);
   if (auto lossless = node.find("lossless")) out.lossless = lossless->boolean();
@@ -35,23 +36,23 @@
 template <typename Node>
 Plan readPlan(Node node, double classRequiredShare, double classMinimumShare) {
   Plan out;
-  for (Node one : node.list()) {
+  for (Node phaseNode : node.list()) {
     Phase phase;
     const bool second = !out.phases.empty();
     phase.minimumShare = second ? 1.0 : classMinimumShare;
-    if (auto text = one.find("expr")) phase.text = text->string();
-    if (auto completeShare = one.find("whole")) phase.completeShare = completeShare->number(0, 1);
-    if (auto minimumShare = one.find("least"))
+    if (auto text = phaseNode.find("expr")) phase.text = text->string();
+    if (auto completeShare = phaseNode.find("whole")) phase.completeShare = completeShare->number(0, 1);
+    if (auto minimumShare = phaseNode.find("least"))
       phase.minimumShare = minimumShare->number(0, 1);
     else
       phase.minimumShare = std::min(phase.minimumShare, phase.completeShare);
-    if (auto timeShare = one.find("claim")) phase.timeShare = timeShare->number(0, 1);
+    if (auto timeShare = phaseNode.find("claim")) phase.timeShare = timeShare->number(0, 1);
     if (second) {
-      phase.prune = readPrune(one.require("prune"));
-      if (auto skip = one.find("skip")) phase.maySkip = skip->boolean();
-      if (auto cut = one.find("cut")) phase.mayCut = cut->boolean();
+      phase.prune = readPrune(phaseNode.require("prune"));
+      if (auto skip = phaseNode.find("skip")) phase.maySkip = skip->boolean();
+      if (auto cut = phaseNode.find("cut")) phase.mayCut = cut->boolean();
     }
-    one.rejectUnknownKeys();
+    phaseNode.rejectUnknownKeys();
     out.phases.push_back(std::move(phase));
   }
   if (const auto error = planError(out, classRequiredShare, classMinimumShare)) node.fail(*error);
--- a/src/phases/steps.cpp
+++ b/src/phases/steps.cpp
@@ -5,10 +5,10 @@
 namespace cometdeal::phases {
 namespace {
 
-constexpr double kWeightTolerance = 1e-6;  // for rounding errors in sums of weights
-// Probabilities with which a phase must fit into the remaining time: all of it, or a part that is worth
-// trying. In the emulator 0.95 instead of 0.8, which ends first phases earlier and cuts second phases more
-// often, is worse at all loads but those over 1 (docs/phases.md).
+constexpr double kWeightTolerance = 1e-6;  // for rounding errors in sums of weights; as in plan.cpp
+// Probability with which a phase must fit into the time left: to ask all selected shards (kLikely), or not to
+// be skipped (kEvenChance). A higher kLikely ends first phases earlier and cuts second phases more often; in
+// the simulation 0.95 gave worse results at loads up to 1 (docs/phases.md).
 constexpr double kLikely = 0.8, kEvenChance = 0.5;
 // A timer's evaluation runs a little after the time it was set for. Without this allowance every phase that
 // ends early would leave the next one slightly less time than it needs.
@@ -22,12 +22,13 @@
 Micros lastCheckForAim(const TimeLimits& t) { return t.aim - t.margin - kTimerAllowance; }
 Micros lastCheckForDeadline(const TimeLimits& t) { return t.deadline - t.margin - kTimerAllowance; }
 
-// The time that a phase takes; by the plan's share of the query's time if nothing is known of it.
-Micros timeNeeded(const Plan& plan, int phase, std::size_t parts, double chance, const TimeLimits& t,
+// The time that a phase takes; without samples, the plan's share of the query's time, or half of it for an
+// even chance.
+Micros timeNeeded(const Plan& plan, int phase, std::size_t parts, double probability, const TimeLimits& t,
                   const PhaseTimeEstimator& estimator) {
   if (parts == 0) return 0;
-  if (const std::optional<Micros> known = estimator(phase, parts, chance)) return *known;
-  const double timeShare = plan.phases[std::size_t(phase)].timeShare * (chance < kLikely ? 0.5 : 1.0);
+  if (const std::optional<Micros> known = estimator(phase, parts, probability)) return *known;
+  const double timeShare = plan.phases[std::size_t(phase)].timeShare * (probability < kLikely ? 0.5 : 1.0);
   return Micros(timeShare * double(std::min(t.aim, t.deadline) - t.queryStart));
 }
 
@@ -64,8 +65,8 @@
     return out;
   }
   const Micros left = planningEnd(t) - t.now;
-  const auto fits = [&](std::size_t n, double chance) {
-    return timeNeeded(plan, 1, n, chance, t, estimator) <= left;
+  const auto fits = [&](std::size_t n, double probability) {
+    return timeNeeded(plan, 1, n, probability, t, estimator) <= left;
   };
   std::size_t n = selection.indices.size();
   if (!fits(n, kLikely)) {
@@ -96,8 +97,9 @@
     return out;
   }
   if (answered < minimumShareOf(plan, 0) - kWeightTolerance) {
-    // Neither a second phase nor an answer is possible yet: the phase goes on until the deadline.
-    out.kind = state.stuck ? Step::Kind::blocked : Step::Kind::wait;
+    // Neither a second phase nor an answer is possible yet: the phase continues until the deadline, or the
+    // query fails if no further part will answer.
+    out.kind = state.exhausted ? Step::Kind::fail : Step::Kind::wait;
     out.recheckAt = futureOrNever(lastCheckForDeadline(t), t);
     return out;
   }
@@ -106,15 +108,15 @@
   if (plan.hasSecondPhase())
     by -=
         timeNeeded(plan, 1, selectShards(plan.phases[1], state.parts).indices.size(), kLikely, t, estimator);
-  if (!state.stuck && t.now < by) {
+  if (!state.exhausted && t.now < by) {
     out.recheckAt = by;
     return out;
   }
   if (plan.hasSecondPhase())
     return endFirstPhase(plan, state, t, estimator,
-                         state.stuck ? Step::PhaseEnd::stuck : Step::PhaseEnd::early);
+                         state.exhausted ? Step::PhaseEnd::stuck : Step::PhaseEnd::early);
   out.kind = Step::Kind::answer;
-  out.phaseEnd = state.stuck ? Step::PhaseEnd::stuck : Step::PhaseEnd::late;
+  out.phaseEnd = state.exhausted ? Step::PhaseEnd::stuck : Step::PhaseEnd::late;
   return out;
 }
 
@@ -130,14 +132,15 @@
     return out;
   }
   // With enough answered, or with the first phase's answer to fall back on, the query is answered within the
-  // aim, or at once if the aim has passed. Otherwise the phase goes on until the deadline.
+  // aim, or at once if the aim has passed. Otherwise the phase continues until the deadline, or the
+  // query fails if no further part will answer.
   const bool answerable = enough || phase.maySkip;
-  if (!state.stuck && (t.now < lastCheckForAim(t) || !answerable)) {
+  if (!state.exhausted && (t.now < lastCheckForAim(t) || !answerable)) {
     out.recheckAt = futureOrNever(answerable ? lastCheckForAim(t) : lastCheckForDeadline(t), t);
     return out;
   }
-  out.kind = answerable ? Step::Kind::answer : Step::Kind::blocked;
-  out.phaseEnd = state.stuck ? Step::PhaseEnd::stuck : Step::PhaseEnd::late;
+  out.kind = answerable ? Step::Kind::answer : Step::Kind::fail;
+  out.phaseEnd = state.exhausted ? Step::PhaseEnd::stuck : Step::PhaseEnd::late;
   if (enough) return out;
   out.fromSecond = false;
   out.secondPhase = Step::SecondPhase::failed;
@@ -165,8 +168,8 @@
 
 double minimumShareOf(const Plan& plan, int phase) {
   if (phase == 1) return plan.phases[1].minimumShare;
-  // If the second phase may not be skipped there is no answer without it, so the first phase must also bring
-  // the share that the second one has to keep.
+  // If the second phase may not be skipped there is no answer without it, so the first phase must also reach
+  // the share that the second one must cover.
   const bool secondRequired = plan.hasSecondPhase() && !plan.phases[1].maySkip;
   return std::max(plan.phases[0].minimumShare, secondRequired ? plan.phases[1].prune.minimumShare : 0.0);
 }
--- a/src/phases/steps.hpp
+++ b/src/phases/steps.hpp
@@ -2,9 +2,8 @@
 // time left and the usual latencies. The host executes the result; servers, hedges and refusals are up to the
 // decision module.
 //
-//   first phase:   wait -> (all answered, or the second phase needs the remaining time) -> second phase or
-//   answer second phase:  wait -> (all answered, or the time is up) -> answer from the second phase or from
-//   the first
+//   first phase:   wait -> (all answered, or the second phase needs the time left) -> second phase or answer
+//   second phase:  wait -> (all answered, or time is up) -> answer from the second or the first phase
 #pragma once
 
 #include <cometdeal/aggregator.hpp>
@@ -19,10 +18,11 @@
 namespace cometdeal::phases {
 
 // Estimates the time from the start of a phase (0 or 1) within which `parts` parts all answer with
-// probability `chance`. Nothing if it is unknown.
-using PhaseTimeEstimator = std::function<std::optional<Micros>(int phase, std::size_t parts, double chance)>;
+// probability `probability`. Nothing if it is unknown.
+using PhaseTimeEstimator =
+    std::function<std::optional<Micros>(int phase, std::size_t parts, double probability)>;
 
-constexpr Micros kNever = INT64_MAX;
+constexpr Micros kNever = INT64_MAX;  // unlike kNever of the decision module, not for use in sums
 
 // Points in time on the host's clock, except `margin`.
 struct TimeLimits {
@@ -30,31 +30,40 @@
   Micros queryStart = 0;  // the time shares of the plan are fractions of the time from here
   Micros aim = 0;         // an answer has its full worth until then
   Micros deadline = 0;    // an answer has no worth from then on
-  Micros margin = 0;      // duration reserved for the turn and the way to the client
+  Micros margin = 0;      // duration reserved for the turn and the transfer to the client
 };
 
 // What is known of the current phase.
 struct PhaseState {
   int phase = 0;  // 0 or 1
   std::vector<PartState> parts;
-  bool stuck = false;  // no further part of this phase will answer
+  bool exhausted = false;  // no further part of this phase will answer
 };
 
 struct Step {
   enum class Kind : std::uint8_t {
-    wait,  // evaluate again when a part answers, or at the given time (kNever: only when a part answers)
+    wait,         // evaluate again when a part answers, or at `recheckAt`
     beginSecond,  // begin the second phase
     answer,       // answer the query, from the phase that `fromSecond` selects
-    blocked,      // no further part will answer, and too little has answered for any answer: the query fails
+    fail,         // no further part will answer, and too little has answered for any answer: the query fails
+  };
+  // How the current phase ended.
+  enum class PhaseEnd : std::uint8_t {
+    complete,  // the plan's share for a complete phase has answered
+    early,     // before that, to leave time for the second phase
+    late,      // its time was up
+    stuck,     // no further part will answer
+  };
+  // What became of the second phase.
+  enum class SecondPhase : std::uint8_t {
+    none,      // there is none to run (yet)
+    complete,  // all selected shards are asked
+    cut,       // fewer are asked, for lack of time
+    skipped,   // it is not begun
+    failed,    // it ran but did not supply the answer
   };
-  // How the current phase ended: with the plan's share for a complete phase; before that, to leave time for
-  // the second phase; because its time was up; because no further part would answer.
-  enum class PhaseEnd : std::uint8_t { complete, early, late, stuck };
-  // What became of the second phase: there is none to run (yet); all selected shards are asked; fewer are
-  // asked, for lack of time; it is not begun; it ran but the answer comes from the first phase.
-  enum class SecondPhase : std::uint8_t { none, complete, cut, skipped, failed };
   Kind kind = Kind::wait;
-  Micros recheckAt = 0;
+  Micros recheckAt = 0;  // Kind::wait: when to evaluate again; kNever: only when a part answers
   PhaseEnd phaseEnd = PhaseEnd::complete;
   SecondPhase secondPhase = SecondPhase::none;
   // Second phase: indices into the first phase's parts, best score first.
@@ -65,15 +74,16 @@
   bool fromSecond = false;
 };
 
-// When the first phase should be over, so that the second phase still fits. The module gets it as the phase's
-// aim, so it times hedges by it.
+// When the first phase should be over, so that the second phase still fits. The decision module receives it
+// as the time limit of the step (StepTerms) and times hedges accordingly.
 Micros firstPhaseDue(const Plan& plan, std::size_t parts, const TimeLimits& t,
                      const PhaseTimeEstimator& estimator);
 // When the second phase should be over.
 Micros secondPhaseDue(const TimeLimits& t);
-// The minimum share of a phase's weight that must answer for the phase to be of use.
+// The minimum share of a phase's weight, below which the phase neither continues nor answers the query.
 double minimumShareOf(const Plan& plan, int phase);
 
+// Decides the next step of a query in the given phase.
 Step nextStep(const Plan& plan, const PhaseState& state, const TimeLimits& t,
               const PhaseTimeEstimator& estimator);
 
--- a/tests/phases_sockets.cpp
+++ b/tests/phases_sockets.cpp
@@ -30,7 +30,7 @@
 using Reply = FrameLeaf::Reply;
 
 #ifdef NDEBUG
-#error "a test without asserts can't fail"
+#error "this test relies on assert(); build it without NDEBUG"
 #endif
 
 namespace {
@@ -139,7 +139,7 @@
     }
     if (!body.contains("phases")) return;
     std::set<int> first, second, answeredFirst;
-    for (const auto& p : receivedParts(query.id)) {
+    for (const auto& p : receivedParts(query.id)) {  // `fetch` is set in parts of the second phase
       (p.fetch ? second : first).insert(p.shard);
       if (!p.fetch) continue;
       answeredFirst = Fixture::firstPhaseShards(p);
@@ -244,7 +244,7 @@
 
 // ---- Both phases answer ----------------------------------------------------------------------------------
 
-void whole() {
+void complete() {
   Fixture fixture("[{}, {prune: {rule: top, most: 4}, expr: fetch-it}]", answerAfter(0, 0));
   const auto result = fixture.sendAndWait(Fixture::plannedQuery());
   assert(result.status == 200 && result.body["exact"] == true && result.body["rows"].size() == 4);
@@ -305,6 +305,7 @@
   assert(result.status == 200 && result.body["phases"][1]["ran"] == "skipped" &&
          result.body["exact"] == false);
   assert(result.took < 1000 * kMs);  // when the first phase ends after 0.7 s, not when the time is up
+  // q1 to q6 were sent by learnLatencies().
   assert(shardsOf(fixture.receivedParts("q7"), true).empty());
   assert(fixture.counters.value(Counter::phasesSecondSkipped) == 1);
   fixture.checkIdle();
@@ -361,7 +362,7 @@
 
 // The boundary between a second phase that runs and one that is skipped: the first phase ends shortly before
 // and after the time from which the second does not fit.
-void edge() {
+void skipBoundary() {
   Micros first = 0;
   Fixture fixture("[{}, {prune: {rule: top, most: 1}}]",
                   [&](const FrameLeaf::Part& p) { return answerAfter(first, 300 * kMs)(p); });
@@ -583,6 +584,7 @@
       [&](const FrameLeaf::Part& p) {
         Reply r = answerAfter(Micros(draw(60)) * kMs, Micros(draw(60)) * kMs)(p);
         r.score = std::to_string(draw(40));
+        // 4 % status 500, 3 % status 503, 3 % no answer, 0.25 % reset, 5 % slow.
         const int event = draw(100);
         if (event < 4) r.status = 500;
         if (event >= 4 && event < 7) r.status = 503;
@@ -614,15 +616,15 @@
     fixture.run(2 * kMs);
   }
   fixture.runUntil([&] {
-    unanswered = int(std::ranges::count_if(results, [](const auto& h) { return !h->ended; }));
+    unanswered = int(std::ranges::count_if(results, [](const auto& result) { return !result->ended; }));
     return unanswered == disconnected;
   });
   std::map<int, int> statuses;
-  for (const auto& h : results) {
-    assert(h->replies <= 1);
-    if (h->ended) ++statuses[h->status];
+  for (const auto& result : results) {
+    assert(result->replies <= 1);
+    if (result->ended) ++statuses[result->status];
   }
-  for (const auto& [status, number] : statuses) std::printf("%d: %d  ", status, number);
+  for (const auto& [status, number] : statuses) std::printf("status %d: %d replies  ", status, number);
   std::printf(
       "disconnected: %d; second phase: %lu complete, %lu cut, %lu skipped, %lu failed; first phase early: "
       "%lu\n",
@@ -639,11 +641,11 @@
 }  // namespace
 
 int main(int count, char** names) {
-  const std::map<std::string, void (*)()> tests{{"whole", whole},
+  const std::map<std::string, void (*)()> tests{{"whole", complete},
                                                 {"pruned", pruned},
                                                 {"skipped", skipped},
                                                 {"cut", cut},
-                                                {"edge", edge},
+                                                {"edge", skipBoundary},
                                                 {"least", minimumShare},
                                                 {"bad", invalidPlans},
                                                 {"client_plan", clientPlan},
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -24,7 +24,7 @@
 using SecondPhase = Step::SecondPhase;
 
 #ifdef NDEBUG
-#error "a test without asserts can't fail"
+#error "this test relies on assert(); build it without NDEBUG"
 #endif
 
 namespace {
@@ -33,8 +33,8 @@
 
 // Estimates: the given time for an even chance, `tail` times as long for a high one.
 PhaseTimeEstimator fixedEstimates(Micros first, Micros second, double tail = 2) {
-  return [=](int phase, std::size_t, double chance) -> std::optional<Micros> {
-    return Micros(double(phase == 0 ? first : second) * (chance > 0.7 ? tail : 1));
+  return [=](int phase, std::size_t, double probability) -> std::optional<Micros> {
+    return Micros(double(phase == 0 ? first : second) * (probability > 0.7 ? tail : 1));
   };
 }
 Plan twoPhases(double minimumShare, PruneSettings prune) {
@@ -129,11 +129,11 @@
   // No further part will answer: the second phase begins at once.
   s = nextStep(plan, {0, threeOfFour, true}, timesAt(100 * kMs), fixedEstimates(100 * kMs, 100 * kMs));
   assert(s.kind == Kind::beginSecond && s.phaseEnd == PhaseEnd::stuck);
-  // Below the minimum share the phase waits until the deadline, or is blocked if no part will answer.
+  // Below the minimum share the phase waits until the deadline, or the query fails if no part will answer.
   s = nextStep(plan, {0, oneOfFour, false}, timesAt(990 * kMs), fixedEstimates(100 * kMs, 100 * kMs));
   assert(s.kind == Kind::wait && s.recheckAt == 1975 * kMs);
   s = nextStep(plan, {0, oneOfFour, true}, timesAt(990 * kMs), fixedEstimates(100 * kMs, 100 * kMs));
-  assert(s.kind == Kind::blocked);
+  assert(s.kind == Kind::fail);
   // The first phase ends too late for the second, which is skipped at once: the answer is the first phase's.
   s = nextStep(plan, {0, all, false}, timesAt(950 * kMs), fixedEstimates(100 * kMs, 100 * kMs));
   assert(s.kind == Kind::answer && !s.fromSecond && s.secondPhase == SecondPhase::skipped);
@@ -156,8 +156,8 @@
   // A second phase that may not be cut asks all its shards if it has an even chance to fit; one that may not
   // be skipped is always begun.
   wide.phases[1].mayCut = false;
-  const PhaseTimeEstimator longTail = [](int, std::size_t, double chance) {
-    return std::optional<Micros>(chance > 0.7 ? 300 * kMs : 100 * kMs);
+  const PhaseTimeEstimator longTail = [](int, std::size_t, double probability) {
+    return std::optional<Micros>(probability > 0.7 ? 300 * kMs : 100 * kMs);
   };
   s = nextStep(wide, {0, all, false}, timesAt(840 * kMs), longTail);
   assert(s.kind == Kind::beginSecond && s.selectedParts.size() == 4 &&
@@ -177,7 +177,7 @@
   assert(nextStep(bound, {0, threeOfFour, false}, timesAt(970 * kMs), fixedEstimates(1, 1)).kind ==
          Kind::wait);
   assert(nextStep(bound, {0, threeOfFour, true}, timesAt(100 * kMs), fixedEstimates(1, 1)).kind ==
-         Kind::blocked);
+         Kind::fail);
   // Without estimates the plan's time shares are used.
   const PhaseTimeEstimator unknown = [](int, std::size_t, double) { return std::optional<Micros>(); };
   assert(firstPhaseDue(plan, 4, timesAt(0), unknown) == 980 * kMs - 500 * kMs);
@@ -191,31 +191,31 @@
   plan.phases[1].minimumShare = 0.5;
   const auto all = partsWithScores({1.0, 2.0, 3.0, 4.0}), twoOfFour = partsWithScores({1.0, 2.0, {}, {}}),
              oneOfFour = partsWithScores({1.0, {}, {}, {}}), none = partsWithScores({{}, {}});
-  const PhaseTimeEstimator needs = fixedEstimates(1, 1);
-  Step s = nextStep(plan, {1, all, false}, timesAt(500 * kMs), needs);
+  const PhaseTimeEstimator estimator = fixedEstimates(1, 1);
+  Step s = nextStep(plan, {1, all, false}, timesAt(500 * kMs), estimator);
   assert(s.kind == Kind::answer && s.fromSecond && s.phaseEnd == PhaseEnd::complete);
-  s = nextStep(plan, {1, twoOfFour, false}, timesAt(500 * kMs), needs);
+  s = nextStep(plan, {1, twoOfFour, false}, timesAt(500 * kMs), estimator);
   assert(s.kind == Kind::wait && s.recheckAt == 975 * kMs);
   // With the minimum share the query is answered within the aim, or at once after it.
-  s = nextStep(plan, {1, twoOfFour, false}, timesAt(976 * kMs), needs);
+  s = nextStep(plan, {1, twoOfFour, false}, timesAt(976 * kMs), estimator);
   assert(s.kind == Kind::answer && s.fromSecond && s.phaseEnd == PhaseEnd::late);
-  s = nextStep(plan, {1, twoOfFour, false}, timesAt(1200 * kMs), needs);
+  s = nextStep(plan, {1, twoOfFour, false}, timesAt(1200 * kMs), estimator);
   assert(s.kind == Kind::answer && s.fromSecond && s.phaseEnd == PhaseEnd::late);
   // Below the minimum share the first phase's answer is given, within the aim.
-  s = nextStep(plan, {1, oneOfFour, false}, timesAt(976 * kMs), needs);
+  s = nextStep(plan, {1, oneOfFour, false}, timesAt(976 * kMs), estimator);
   assert(s.kind == Kind::answer && !s.fromSecond && s.secondPhase == SecondPhase::failed);
-  s = nextStep(plan, {1, twoOfFour, true}, timesAt(500 * kMs), needs);
+  s = nextStep(plan, {1, twoOfFour, true}, timesAt(500 * kMs), estimator);
   assert(s.kind == Kind::answer && s.fromSecond && s.phaseEnd == PhaseEnd::stuck);
-  s = nextStep(plan, {1, oneOfFour, true}, timesAt(500 * kMs), needs);
+  s = nextStep(plan, {1, oneOfFour, true}, timesAt(500 * kMs), estimator);
   assert(s.kind == Kind::answer && !s.fromSecond && s.secondPhase == SecondPhase::failed);
   plan.phases[1].minimumShare = 0;
   // A second phase without any answered part is never answered from, even if its minimum share is 0.
-  s = nextStep(plan, {1, none, true}, timesAt(500 * kMs), needs);
+  s = nextStep(plan, {1, none, true}, timesAt(500 * kMs), estimator);
   assert(s.kind == Kind::answer && !s.fromSecond);
   plan.phases[1].maySkip = false;
-  assert(nextStep(plan, {1, none, true}, timesAt(500 * kMs), needs).kind == Kind::blocked);
-  assert(nextStep(plan, {1, none, false}, timesAt(976 * kMs), needs).recheckAt == 1975 * kMs);
-  assert(nextStep(plan, {1, none, false}, timesAt(1990 * kMs), needs).recheckAt == kNever);
+  assert(nextStep(plan, {1, none, true}, timesAt(500 * kMs), estimator).kind == Kind::fail);
+  assert(nextStep(plan, {1, none, false}, timesAt(976 * kMs), estimator).recheckAt == 1975 * kMs);
+  assert(nextStep(plan, {1, none, false}, timesAt(1990 * kMs), estimator).recheckAt == kNever);
 }
 
 // ---- Learned latencies ------------------------------------------------------------------------------------
@@ -252,14 +252,14 @@
   for (int k = 0; k < 20'000; ++k) learned.add(3, 0, 70 * kMs, now += 1'000 * kMs);
   const Micros steady = *learned.timeForAll(3, 0, 1, 0.5, now) - 70 * kMs;
   assert(std::abs(double(steady)) < 4 * kMs);
-  // Times of abandoned parts count above the 95th percentile only.
+  // Times of abandoned parts are recorded above the 95th percentile only.
   Latencies cut;
   for (int k = 0; k < 100; ++k) cut.add(0, 0, 10 * kMs, 0);
   for (int k = 0; k < 100; ++k) cut.add(0, 0, 5 * kMs, 0, true);
   assert(*cut.timeForAll(0, 0, 1, 0.5, 0) > 9 * kMs);
   for (int k = 0; k < 30; ++k) cut.add(0, 0, 100 * kMs, 0, true);
   assert(*cut.timeForAll(0, 0, 1, 0.99, 0) > 90 * kMs);
-  const Latencies copy = cut;  // a deep copy
+  const Latencies copy = cut;  // keeps its samples when the original changes
   cut.add(0, 0, 1, 0);
   assert(copy.timeForAll(0, 0, 1, 0.5, 0));
 }
@@ -385,7 +385,8 @@
   int answers = 0, unanswered = 0, exactAnswers = 0;
 };
 
-// Simulates one query: parts answer at random times, and steps are evaluated when the core would do so.
+// Simulates one query: parts answer at random times, and steps are evaluated whenever a
+// part answers or a wait ends, as in the query tracker.
 void simulateQuery(Draw& d, Tally& tally) {
   const double minimumShare = d.chance(0.3) ? 1 : d.real(0, 1);
   const Plan plan = drawPlan(d, minimumShare);
@@ -398,9 +399,10 @@
   t.margin = d.integer(5, 20) * kMs;
   const double medianMs[2] = {d.real(1, 500), d.real(1, 500)}, spread = d.real(1, 6);
   const bool known = d.chance(0.9);
-  const PhaseTimeEstimator needs = [&](int phase, std::size_t k, double chance) -> std::optional<Micros> {
+  const PhaseTimeEstimator estimator = [&](int phase, std::size_t k,
+                                           double probability) -> std::optional<Micros> {
     if (!known) return std::nullopt;
-    return Micros(medianMs[phase] * 1e3 * std::pow(spread, chance - 0.5) * (1 + 0.1 * double(k)));
+    return Micros(medianMs[phase] * 1e3 * std::pow(spread, probability - 0.5) * (1 + 0.1 * double(k)));
   };
   PhaseState state;
   double totalWeight = 0;
@@ -418,13 +420,13 @@
     return out;
   };
   std::vector<Micros> arrivalTimes = drawArrivals(0, state.parts.size());
-  const Micros stuckAt = d.chance(0.15) ? t.now + d.integer(1, 1500) * kMs : kNever;
+  const Micros exhaustedAt = d.chance(0.15) ? t.now + d.integer(1, 1500) * kMs : kNever;
   Account account;
   double firstAnswered = 0;
   int evaluations = 0;
   for (;;) {
     assert(++evaluations < 500);
-    const Step s = nextStep(plan, state, t, needs);
+    const Step s = nextStep(plan, state, t, estimator);
     const Phase& phase = plan.phases[std::size_t(state.phase)];
     double weight = 0, answered = 0;
     bool all = true;
@@ -434,28 +436,28 @@
       all = all && p.answered;
     }
     const double share = answered / weight;
-    if (s.kind == Kind::wait || s.kind == Kind::blocked) {
-      assert(s.kind == Kind::blocked || s.recheckAt > t.now);  // never a wait that ends at once
-      assert(!all);                                            // a complete phase does not wait
-      if (state.stuck) assert(s.kind == Kind::blocked);
+    if (s.kind == Kind::wait || s.kind == Kind::fail) {
+      assert(s.kind == Kind::fail || s.recheckAt > t.now);  // never a wait that ends at once
+      assert(!all);                                         // a complete phase does not wait
+      if (state.exhausted) assert(s.kind == Kind::fail);
       // A phase that has reached its minimum share (and, if the second may not be skipped, the share that the
-      // second needs) does not go on after the deadline.
+      // second needs) does not continue after the deadline, unless no part has answered.
       if (t.now >= t.deadline - t.margin && share >= minimumShareOf(plan, state.phase) + 1e-6)
         assert(answered <= 0);
       Micros nextEvent =
-          std::min(s.kind == Kind::blocked ? kNever : s.recheckAt, stuckAt > t.now ? stuckAt : kNever);
+          std::min(s.kind == Kind::fail ? kNever : s.recheckAt, exhaustedAt > t.now ? exhaustedAt : kNever);
       for (std::size_t k = 0; k < arrivalTimes.size(); ++k)
         if (!state.parts[k].answered) nextEvent = std::min(nextEvent, arrivalTimes[k]);
       if (nextEvent == kNever || nextEvent >= t.deadline) {  // the deadline ends the query
         ++tally.unanswered;
         // Only two kinds of phases reach the deadline without an answer: a first phase below its minimum
-        // share, and such a second phase that may not be skipped.
+        // share, and a second phase below its minimum share that may not be skipped.
         if (state.phase == 0) assert(share < minimumShareOf(plan, 0) + 1e-6);
         if (state.phase == 1) assert(!phase.maySkip && (share < phase.minimumShare + 1e-6 || answered <= 0));
         return;
       }
       t.now = std::max(t.now, nextEvent);
-      if (t.now >= stuckAt) state.stuck = true;
+      if (t.now >= exhaustedAt) state.exhausted = true;
       for (std::size_t k = 0; k < arrivalTimes.size(); ++k)
         if (!state.parts[k].answered && arrivalTimes[k] <= t.now) {
           state.parts[k].answered = true;
@@ -470,7 +472,7 @@
       firstAnswered = answered;
       if (s.phaseEnd == PhaseEnd::early &&
           known)  // not before the second phase needs the time left until the aim
-        assert(t.now + *needs(1, s.selectedCount, 0.8) + 5 * kMs >= t.aim - t.margin);
+        assert(t.now + *estimator(1, s.selectedCount, 0.8) + 5 * kMs >= t.aim - t.margin);
       if (s.phaseEnd == PhaseEnd::complete) assert(all || share >= phase.completeShare - 1e-6);
     }
     ++tally.phaseEnds[s.phaseEnd];
@@ -499,7 +501,7 @@
       if (s.secondPhase == SecondPhase::cut)
         assert(second.mayCut && s.selectedParts.size() < s.selectedCount);
       if (known && second.maySkip)  // never begun without an even chance to fit
-        assert(t.now + *needs(1, s.selectedParts.size(), 0.5) <=
+        assert(t.now + *estimator(1, s.selectedParts.size(), 0.5) <=
                (t.now + t.margin <= t.aim ? t.aim : t.deadline) - t.margin);
       std::vector<PartState> next;
       for (const std::size_t k : s.selectedParts)
@@ -519,10 +521,10 @@
       assert(plan.phases[1].maySkip);
       const Selection selection = selectShards(plan.phases[1], state.parts);
       if (known && selection.minimumMet)  // only if even the fewest shards have no even chance to fit
-        assert(t.now + *needs(1,
-                              plan.phases[1].mayCut ? std::max<std::size_t>(1, selection.minimumCount)
-                                                    : selection.indices.size(),
-                              0.5) >
+        assert(t.now + *estimator(1,
+                                  plan.phases[1].mayCut ? std::max<std::size_t>(1, selection.minimumCount)
+                                                        : selection.indices.size(),
+                                  0.5) >
                (t.now + t.margin <= t.aim ? t.aim : t.deadline) - t.margin);
     }
     ++tally.answers;
@@ -537,7 +539,7 @@
       assert(std::abs(first.weightAnswered - last.weightAsked - last.weightCut - last.weightPruned -
                       last.weightNoMatch) < 1e-9);
     }
-    // An exact answer is checked by what is missing, not by the account's own flags.
+    // An exact answer is checked by the weights and counts of the account, not by its flags.
     if (account.exact(plan)) {
       ++tally.exactAnswers;
       assert(first.weightAnswered >= plan.phases[0].completeShare - 1e-6);
