--- a/src/core/message_stream.hpp
+++ b/src/core/message_stream.hpp
@@ -139,8 +139,8 @@
 };
 
 // A query whose request and answer are streamed. Shared by its front, its attempts and the leaf side that
-// serves it. An attempt that ends as `done` supplies the answer, which may still be arriving: from
-// then on no further attempt of the query is started.
+// serves it. An attempt that ends as `done` supplies the answer, which may still be arriving: from then
+// on no further attempt of the query is started.
 struct Exchange {
   explicit Exchange(bool retained) : request(retained) {}
   MessageStream request;
--- a/src/core/query_tracker.cpp
+++ b/src/core/query_tracker.cpp
@@ -276,8 +276,8 @@
     q.parts.push_back(std::move(part));
   }
   if (q.phaseProgress) push(StepBegan{q.request.id, int(selected.size()), stepTerms(q)});
-  // In queries in phases, the server that answered a part in the first phase already holds the data for
-  // the second phase, so the module is asked to prefer it.
+  // In queries in phases, the server that answered a part in the first phase already holds the data for the
+  // second phase, so the module is asked to prefer it.
   for (std::size_t k = q.stepFirstPart; k < q.parts.size(); ++k) {
     const Part& p = q.parts[k];
     push(PartArrived{p.id, q.group, p.shard, p.weight, q.phaseProgress ? p.server : std::string()});
@@ -329,8 +329,8 @@
       latencies_.add(q.request.cls, q.step - 1, now_ - q.phaseProgress->stepStartedAt, now_, true);
 }
 
-// Decides whether the current phase ends, and begins the second phase or answers the query if so. Phases
-// end here unless the query itself is ended from outside.
+// Decides whether the current phase ends, and begins the second phase or answers the query if so. Phases end
+// here unless the query itself is ended from outside.
 void QueryTracker::evaluatePhase(Handle h) {
   Query* q = queries_.get(h);
   if (!q || q->ended) return;
--- a/src/phases/latency.hpp
+++ b/src/phases/latency.hpp
@@ -23,7 +23,7 @@
   // about slow parts.
   void add(int cls, int phase, Micros took, Micros now, bool censored = false);
 
-  // The time within which `parts` parts all answer with probability `probability` (0 to 1). Treats the times
+  // The time within which `parts` parts all answer with the given probability (0 to 1). Treats the times
   // of the parts as independent, so it overestimates where one cause delays all of them. Nothing while the
   // decayed number of samples is below kMinSamples.
   std::optional<Micros> timeForAll(int cls, int phase, std::size_t parts, double probability,
--- a/src/phases/steps.cpp
+++ b/src/phases/steps.cpp
@@ -132,8 +132,8 @@
     return out;
   }
   // With enough answered, or with the first phase's answer to fall back on, the query is answered within the
-  // aim, or at once if the aim has passed. Otherwise the phase continues until the deadline, or the
-  // query fails if no further part will answer.
+  // aim, or at once if the aim has passed. Otherwise the phase continues until the deadline, or the query
+  // fails if no further part will answer.
   const bool answerable = enough || phase.maySkip;
   if (!state.exhausted && (t.now < lastCheckForAim(t) || !answerable)) {
     out.recheckAt = futureOrNever(answerable ? lastCheckForAim(t) : lastCheckForDeadline(t), t);
--- a/src/phases/steps.hpp
+++ b/src/phases/steps.hpp
@@ -18,7 +18,7 @@
 namespace cometdeal::phases {
 
 // Estimates the time from the start of a phase (0 or 1) within which `parts` parts all answer with
-// probability `probability`. Nothing if it is unknown.
+// the given probability. Nothing if it is unknown.
 using PhaseTimeEstimator =
     std::function<std::optional<Micros>(int phase, std::size_t parts, double probability)>;
 
@@ -40,6 +40,7 @@
   bool exhausted = false;  // no further part of this phase will answer
 };
 
+// What a query does next, and how its phases ended.
 struct Step {
   enum class Kind : std::uint8_t {
     wait,         // evaluate again when a part answers, or at `recheckAt`
--- a/tests/phases_sockets.cpp
+++ b/tests/phases_sockets.cpp
@@ -127,7 +127,7 @@
   static std::set<int> firstPhaseShards(const FrameLeaf::Part& p) {
     std::set<int> out;
     std::istringstream list(p.answeredShards);
-    for (std::string one; std::getline(list, one, '+');) out.insert(std::stoi(one));
+    for (std::string shard; std::getline(list, shard, '+');) out.insert(std::stoi(shard));
     return out;
   }
   // Compares the body of a 200 reply with the parts that the leaf servers received; called in every test.
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -385,8 +385,8 @@
   int answers = 0, unanswered = 0, exactAnswers = 0;
 };
 
-// Simulates one query: parts answer at random times, and steps are evaluated whenever a
-// part answers or a wait ends, as in the query tracker.
+// Simulates one query: parts answer at random times, and steps are evaluated whenever a part
+// answers or a wait ends, as in the query tracker.
 void simulateQuery(Draw& d, Tally& tally) {
   const double minimumShare = d.chance(0.3) ? 1 : d.real(0, 1);
   const Plan plan = drawPlan(d, minimumShare);
