--- a/Makefile
+++ b/Makefile
@@ -19,7 +19,7 @@
 	clang-format --dry-run --Werror $(SOURCES)
 	find src -name '*.cpp' ! -name aggregator.cpp ! -path 'src/wire/*' | xargs -P4 -n1 clang-tidy --quiet -p build --extra-arg=-Wno-unknown-warning-option
 
-# The state machines at a larger size than CI's; ends with 3 where a limit cuts it short.
+# Runs the model checker at a larger size than CI does. Exit status 3: a limit stopped it early.
 check: build
 	build/cometdeal check --size medium
 
@@ -27,12 +27,13 @@
 soak: build
 	build/cometdeal_grpc_test soak 20000 1
 
-# What the mixer adds to gRPC calls, as ratios in one run.
+# The overhead of the mixer on gRPC calls, as ratios measured in one run.
 bench: build
 	cmake --build build -j4 --target cometdeal_grpc_bench
 	build/cometdeal_grpc_bench
 
-# Long: ten minutes for each parser. What is found goes into fuzz/corpus.
+# Fuzzes each parser for FUZZ_SECONDS. New inputs are written to build-fuzz/found; copy those worth keeping to
+# fuzz/corpus.
 FUZZ_SECONDS ?= 600
 fuzz:
 	cmake -B build-fuzz -DCMAKE_CXX_COMPILER=clang++ -DCOMETDEAL_FUZZ=ON -DCOMETDEAL_TESTS=OFF -DCOMETDEAL_TOOL=OFF
@@ -43,7 +44,7 @@
 format:
 	clang-format -i $(SOURCES)
 
-# BALANCER_CONFIG names the configuration.
+# Requires BALANCER_CONFIG, the path of the configuration file.
 run: build
 	build/cometdeal_mixer
 
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -21,6 +21,6 @@
     const std::string bytes((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
     target(bytes);
   }
-  std::printf("%d inputs\n", count - 2);
+  std::printf("%d inputs passed\n", count - 2);
   return 0;
 }
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -19,7 +19,7 @@
 
 using namespace net;
 
-// `violation`: the text to abort with if `holds` is false.
+// Aborts with the text `violation` if `holds` is false.
 void require(bool holds, const char* violation) {
   if (holds) return;
   std::fprintf(stderr, "invariant violated: %s\n", violation);
@@ -55,7 +55,7 @@
   return out;
 }
 
-// The same for frames.
+// Feeds `bytes` to a FrameReader in pieces of `pieceSize`. Returns the frames as text, and "bad" at an error.
 std::vector<std::string> frames(std::string_view bytes, std::size_t pieceSize) {
   std::vector<std::string> out;
   FrameReader reader;
@@ -113,18 +113,18 @@
 
 void call(std::string_view bytes) {
   const auto read = [&](std::size_t pieceSize) -> std::optional<std::string> {
-    CallReader reader;
+    CommandReader reader;
     for (std::string_view left = bytes; !left.empty(); left.remove_prefix(std::min(pieceSize, left.size())))
       if (const auto complete = reader.feed(left.substr(0, pieceSize))) return complete;
-    require(reader.partial().size() <= kMaxCallBytes + 1,
-            "the call reader buffers more than a call's maximum size");
+    require(reader.partial().size() <= kMaxCommandBytes + 1,
+            "the command reader buffers more than a command's maximum size");
     return std::nullopt;
   };
   const auto unsplit = read(bytes.size());
-  require(read(1) == unsplit && read(7) == unsplit, "the call depends on how the bytes are split");
+  require(read(1) == unsplit && read(7) == unsplit, "the command depends on how the bytes are split");
   if (!unsplit) return;
   Counters counters;
-  const std::string reply = answerCall(*unsplit, {}, counters);
+  const std::string reply = answerCommand(*unsplit, {}, counters);
   require(
       reply.ends_with('\n') && (reply[0] == '{' || reply.starts_with("-ERR ") || reply.starts_with("+OK ")),
       "a malformed reply");
@@ -146,8 +146,8 @@
   for (const ClassSettings& cls : read.settings.classes)
     require(cls.aim > 0 && cls.deadline > 0, "an aim or a deadline that is not positive");
   require(!read.settings.maxAttempts || *read.settings.maxAttempts >= 1, "no attempt allowed");
-  // Apply alternating settings while class index 1 has open queries: every class is found by its name and has
-  // its new settings.
+  // Apply alternating settings while class index 1 has open queries: every class must be found by its name
+  // and must have its new settings.
   Settings set = read.settings;
   HostSettings host = read.host;
   for (int k = 0; k < 3; ++k) {
--- a/fuzz/targets.hpp
+++ b/fuzz/targets.hpp
@@ -8,11 +8,11 @@
 
 namespace cometdeal::fuzz {
 
-void http(std::string_view bytes);    // requests and responses: the result does not depend on the split
-void frame(std::string_view bytes);   // frames and answers of leaf servers: as http, and bounded memory
+void http(std::string_view bytes);    // requests and responses: the same result however the bytes are split
+void frame(std::string_view bytes);   // frames and answers of leaf servers: the same, and bounded buffering
 void list(std::string_view bytes);    // lists from discovery: every entry is valid, or the list is rejected
 void query(std::string_view bytes);   // bodies of queries: an error, or a query within its limits
-void call(std::string_view bytes);    // operators' calls: one bounded reply, whatever the split
+void call(std::string_view bytes);    // admin commands: one bounded reply, however the bytes are split
 void config(std::string_view bytes);  // configurations, at the start and at reloads
 
 using Target = void (*)(std::string_view);
--- a/src/admin/calls.hpp
+++ b/src/admin/calls.hpp
@@ -1,4 +1,5 @@
-// The protocol of the operators' address: one call per connection, a line of text, and its reply. No I/O.
+// The text protocol of the admin address: one command line and one reply per connection. No I/O.
+// The replies of the protocol name a command a "call".
 #pragma once
 
 #include <cstddef>
@@ -10,23 +11,23 @@
 
 namespace cometdeal::net {
 
-constexpr std::size_t kMaxCallBytes = 64;  // without the line end
+constexpr std::size_t kMaxCommandBytes = 64;  // without the line end
 
-// The state of the process, as reported to operators.
+// The state of the process, as reported by the commands.
 struct ProcessStatus {
   bool ready = false;
-  std::string notReadyReason;       // used if not ready
-  std::size_t outstanding = 0;      // open queries
+  std::string notReadyReason;  // used if not ready
+  std::size_t openQueries = 0;
   int discovered = 0, ejected = 0;  // leaf servers
 };
 
-// Collects bytes until a call is complete: a line that ends in LF or CR LF. Bytes after it are discarded.
-class CallReader {
+// Collects bytes until a command is complete: a line that ends in LF or CR LF. Bytes after it are discarded.
+class CommandReader {
  public:
-  // Returns the call without its line end, or nullopt if more bytes are needed. Of an overlong line it
-  // returns the first kMaxCallBytes + 1 bytes, which answerCall() rejects.
+  // Returns the command without its line end, or nullopt if more bytes are needed. Of an overlong line it
+  // returns the first kMaxCommandBytes + 1 bytes, which answerCommand() rejects.
   std::optional<std::string> feed(std::string_view bytes);
-  std::string partial() const { return line_; }  // the bytes of a call that is not complete yet
+  std::string partial() const { return line_; }  // the bytes of an incomplete command
 
  private:
   std::string line_;
@@ -34,6 +35,6 @@
 
 // The complete reply. To `vars`: a line of JSON, then a line with a dot. Otherwise: one line that starts with
 // +OK or -ERR.
-std::string answerCall(const std::string& call, const ProcessStatus& status, const Counters& counters);
+std::string answerCommand(const std::string& command, const ProcessStatus& status, const Counters& counters);
 
 }  // namespace cometdeal::net
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -10,10 +10,11 @@
 
 using boost::system::error_code;
 
-constexpr Micros kCallTimeout = 5'000'000;    // for a complete call, from the connect
-constexpr Micros kLingerTimeout = 1'000'000;  // for the caller to read the reply and close
-// At the connection limit a new connection is not closed within this time: otherwise hundreds of callers that
-// connect and send nothing would displace a caller before its line is read.
+constexpr Micros kCommandTimeout = 5'000'000;  // for a complete command, from the connect
+constexpr Micros kLingerTimeout = 1'000'000;   // for the client to read the reply and close
+// At the connection limit a new connection is not closed within this time: otherwise, among hundreds of
+// clients that connect and send nothing, each new connection would cause an earlier one to be closed before
+// its command is read.
 constexpr Micros kNewConnectionGrace = 20'000;
 constexpr Micros kAcceptRetryDelay = 5'000;
 
@@ -59,10 +60,10 @@
   }
 };
 
-AdminServer::AdminServer(Loop& loop, int maxConnections, Reply reply)
+AdminServer::AdminServer(Loop& loop, int maxConnections, CommandHandler handler)
     : loop_(loop),
       maxConnections_(std::max(1, maxConnections)),
-      reply_(std::move(reply)),
+      handler_(std::move(handler)),
       acceptor_(loop.strand) {}
 
 void AdminServer::listen(const Address& address) {
@@ -74,8 +75,8 @@
   loop_.deadlines.add(loop_.now() + kAcceptRetryDelay, [this] { Acceptor{this}(); });
 }
 
-// Closes a connection at the limit, preferably one that has its reply, then the oldest one. Returns false if
-// the grace period protects it.
+// Closes a connection at the limit: the oldest one that has been replied to, or else the oldest one. Returns
+// false if the grace period protects it.
 bool AdminServer::shedConnection() {
   Connection* candidate = nullptr;
   for (const Handle h : connections_.all()) {
@@ -97,27 +98,27 @@
   Connection& c = *connections_.get(h);
   c.self = h;
   c.connectedAt = loop_.now();
-  c.deadline = loop_.deadlines.add(c.connectedAt + kCallTimeout, [this, h] {
-    Connection* late = connections_.get(h);
-    if (!late) return;
-    late->deadline.reset();
-    reply(*late, "-ERR no whole call in time\n");
+  c.timeout = loop_.deadlines.add(c.connectedAt + kCommandTimeout, [this, h] {
+    Connection* expired = connections_.get(h);
+    if (!expired) return;
+    expired->timeout.reset();
+    reply(*expired, "-ERR no whole call in time\n");
   });
   Reader(this, connections_.getShared(h))();
 }
 
-// Bytes after the call are read and discarded: a close with unread input would reset the connection, and the
-// caller could lose the reply.
+// Bytes after the command are read and discarded: a close with unread input would reset the connection, and
+// the client could lose the reply.
 void AdminServer::onReceived(Connection& c, std::size_t bytes) {
   if (c.replied) return;
-  if (const auto call = c.call.feed({c.readBuffer.data(), bytes})) reply(c, reply_(*call));
+  if (const auto command = c.command.feed({c.readBuffer.data(), bytes})) reply(c, handler_(*command));
 }
 
-// The end of the caller's side also ends its line.
+// If the client half-closes the connection, the bytes received so far are the command.
 void AdminServer::onReadEnd(Connection& c) {
-  if (c.replied || c.call.partial().empty()) return close(c);
+  if (c.replied || c.command.partial().empty()) return close(c);
   const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
-  reply(c, reply_(c.call.partial()));
+  reply(c, handler_(c.command.partial()));
   close(c);
 }
 
@@ -125,9 +126,9 @@
   const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   c.replied = true;
   c.output = text;
-  loop_.deadlines.cancel(c.deadline);
-  c.deadline = loop_.deadlines.add(loop_.now() + kLingerTimeout, [this, h = c.self] {
-    if (Connection* due = connections_.get(h)) close(*due);
+  loop_.deadlines.cancel(c.timeout);
+  c.timeout = loop_.deadlines.add(loop_.now() + kLingerTimeout, [this, h = c.self] {
+    if (Connection* expired = connections_.get(h)) close(*expired);
   });
   flush(c);
 }
@@ -139,8 +140,8 @@
     done += c.socket.write_some(boost::asio::buffer(c.output) + done, ec);
     if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) {
       c.socket.async_wait(tcp::socket::wait_write, [this, h = c.self](const error_code&) {
-        const std::shared_ptr<Connection> again = connections_.getShared(h);
-        if (again) flush(*again);
+        const std::shared_ptr<Connection> guard = connections_.getShared(h);
+        if (guard) flush(*guard);
       });
       break;
     }
@@ -155,7 +156,7 @@
   if (c.closed) return;
   const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   c.closed = true;
-  loop_.deadlines.cancel(c.deadline);
+  loop_.deadlines.cancel(c.timeout);
   error_code ignored;
   c.socket.close(ignored);
   connections_.remove(c.self);
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -1,4 +1,4 @@
-// The server at the operators' address: accepts connections, reads one call from each, replies and closes.
+// The server at the admin address: accepts connections, reads one command from each, replies and closes.
 #pragma once
 
 #include <array>
@@ -15,16 +15,18 @@
 
 namespace cometdeal::net {
 
+// Serves admin connections on one listener, up to a maximum number of connections.
 class AdminServer {
  public:
   using tcp = boost::asio::ip::tcp;
-  using Reply = std::function<std::string(const std::string& call)>;
+  // Returns the complete reply to a command.
+  using CommandHandler = std::function<std::string(const std::string& command)>;
 
-  // `maxConnections`: values below 1 count as 1. `reply` returns the complete reply to a call.
-  AdminServer(Loop& loop, int maxConnections, Reply reply);
+  // `maxConnections`: values below 1 count as 1.
+  AdminServer(Loop& loop, int maxConnections, CommandHandler handler);
   void listen(const Address& address);  // throws boost::system::system_error; port 0 selects a free port
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
-  std::size_t connections() const { return connections_.size(); }
+  std::size_t connectionCount() const { return connections_.size(); }
 
  private:
   struct Connection {
@@ -33,10 +35,10 @@
     Handle self;
     Micros connectedAt = 0;
     bool replied = false, closed = false;
-    CallReader call;
+    CommandReader command;
     std::string output;
     std::array<char, 512> readBuffer;
-    std::optional<Deadlines::Key> deadline;
+    std::optional<Deadlines::Key> timeout;
   };
   struct Reader;
   struct Acceptor;
@@ -52,7 +54,7 @@
 
   Loop& loop_;
   int maxConnections_;
-  Reply reply_;
+  CommandHandler handler_;
   tcp::acceptor acceptor_;
   SharedSlotTable<Connection> connections_;
 };
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -17,7 +17,7 @@
 
 using Json = nlohmann::json;
 
-const Json& need(const Json& object, const char* name) {
+const Json& require(const Json& object, const char* name) {
   const auto at = object.find(name);
   if (at == object.end()) throw ConfigError(std::string("'") + name + "' is missing");
   return *at;
@@ -35,28 +35,28 @@
   for (const Json& one : info.value(name, Json::array())) out.push_back(one.get<std::string>());
   return out;
 }
-// If present: at least 0.001 (one microsecond where the number is a time in ms) and below 1e12, so that
-// arithmetic does not overflow.
-void checkPositive(const Json& object, const char* name, const std::string& where) {
+// Checks a number, if present: at least 0.001 (one microsecond for times in ms) and below 1e12, so that
+// arithmetic does not overflow. `path`: of `object`.
+void checkPositive(const Json& object, const char* name, const std::string& path) {
   const auto at = object.find(name);
   if (at == object.end()) return;
   const double number = at->is_number() ? at->get<double>() : 0.0;
   if (!(number >= 0.001 && number < 1e12))
-    throw ConfigError("'" + where + "." + name + "' is " + at->dump() + ", expected a number above 0");
+    throw ConfigError("'" + path + "." + name + "' is " + at->dump() + ", expected a number above 0");
 }
-// Checks that times of classes and the number of attempts are positive, and that class names are unique.
+// Validates the classes (aim and hard limit, unique non-empty names) and the maximum number of attempts.
 void checkSettings(const Json& info) {
   std::vector<std::string> names;
-  for (const Json& one : need(info, "categories")) {
-    const std::string where = "settings.categories[" + std::to_string(names.size()) + "]";
-    if (!one.is_object()) throw ConfigError("'" + where + "' is not an object");
-    if (!one.contains("aim")) throw ConfigError("'" + where + ".aim' is missing");
-    for (const char* name : {"aim", "hardLimit"}) checkPositive(one, name, where);
-    names.push_back(need(one, "name").get<std::string>());
-    if (names.back().empty()) throw ConfigError("'" + where + ".name' is empty, expected a name");
+  for (const Json& one : require(info, "categories")) {
+    const std::string path = "settings.categories[" + std::to_string(names.size()) + "]";
+    if (!one.is_object()) throw ConfigError("'" + path + "' is not an object");
+    if (!one.contains("aim")) throw ConfigError("'" + path + ".aim' is missing");
+    for (const char* name : {"aim", "hardLimit"}) checkPositive(one, name, path);
+    names.push_back(require(one, "name").get<std::string>());
+    if (names.back().empty()) throw ConfigError("'" + path + ".name' is empty, expected a name");
     if (std::ranges::count(names, names.back()) > 1)
-      throw ConfigError("'" + where + ".name' is '" + names.back() +
-                        "' a second time, expected unique class names");
+      throw ConfigError("'" + path + ".name' is '" + names.back() +
+                        "', which another class already uses, expected unique class names");
   }
   const auto limits = info.find("limits");
   if (limits == info.end() || !limits->is_object()) return;
@@ -74,34 +74,34 @@
 
 const char* typeName(const Json& value) { return value.is_number() ? "number" : value.type_name(); }
 
-// Throws ConfigError if a key of `was` is absent in `next` or has another type there. `where`: the path so
-// far.
-void checkNothingMissing(const Json& was, const Json& next, const std::string& where) {
-  if (!was.is_null() && !next.is_null() && std::string(typeName(was)) != typeName(next))
-    throw ConfigError("'" + where + "' is of type " + typeName(next) + ", expected " + typeName(was));
-  if (was.is_object() && next.is_object()) {
-    for (const auto& [name, value] : was.items()) {
-      std::string path = where;
-      if (!path.empty()) path += '.';
-      path += name;
+// Throws ConfigError if a key of `running` is absent in `next` or has another type there. Each element of a
+// list of objects is compared with the first one of the running list. `path`: of the two values.
+void checkKeysAndTypes(const Json& running, const Json& next, const std::string& path) {
+  if (!running.is_null() && !next.is_null() && std::string(typeName(running)) != typeName(next))
+    throw ConfigError("'" + path + "' is of type " + typeName(next) + ", expected " + typeName(running));
+  if (running.is_object() && next.is_object()) {
+    for (const auto& [name, value] : running.items()) {
+      std::string keyPath = path;
+      if (!keyPath.empty()) keyPath += '.';
+      keyPath += name;
       if (std::ranges::count(kOptionalInReload, name) > 0) continue;
-      if (!next.contains(name)) throw ConfigError("'" + path + "' is missing");
-      checkNothingMissing(value, next[name], path);
+      if (!next.contains(name)) throw ConfigError("'" + keyPath + "' is missing");
+      checkKeysAndTypes(value, next[name], keyPath);
     }
-  } else if (was.is_array() && next.is_array() && !was.empty() && was[0].is_object()) {
+  } else if (running.is_array() && next.is_array() && !running.empty() && running[0].is_object()) {
     for (std::size_t k = 0; k < next.size(); ++k)
-      checkNothingMissing(was[0], next[k], where + "[" + std::to_string(k) + "]");
+      checkKeysAndTypes(running[0], next[k], path + "[" + std::to_string(k) + "]");
   }
 }
 
-HostSettings readHost(const Json& info) {
+HostSettings readHostSettings(const Json& info) {
   HostSettings out;
   out.zones = strings(info, "zones");
-  for (const Json& one : need(info, "categories")) {
-    out.classNames.push_back(need(one, "name").get<std::string>());
+  for (const Json& one : require(info, "categories")) {
+    out.classNames.push_back(require(one, "name").get<std::string>());
     out.classKeyed.push_back(one.value("effect", "safe") == "keyed");
   }
-  out.shards = integer<int>(need(need(info, "familyInfo"), "ranges"), "ranges");
+  out.shards = integer<int>(require(require(info, "familyInfo"), "ranges"), "ranges");
   const Json limits = info.value("limits", Json::object());
   if (limits.contains("maxStreams"))
     out.partsPerConnection = std::max(1, integer<int>(limits["maxStreams"], "maxStreams"));
@@ -128,15 +128,15 @@
 
 LeafList readList(const Json& body, const std::vector<std::string>& zones) try {
   LeafList out;
-  out.index = integer<std::int64_t>(need(body, "index"), "index");
-  out.fullSnapshot = need(body, "snapshot").get<bool>();
-  const Json& endpoints = need(body, "endpoints");
+  out.index = integer<std::int64_t>(require(body, "index"), "index");
+  out.fullSnapshot = require(body, "snapshot").get<bool>();
+  const Json& endpoints = require(body, "endpoints");
   if (!endpoints.is_array()) throw ConfigError("'endpoints' is not a list");
   for (const Json& one : endpoints) {
     LeafEntry entry;
-    entry.name = need(one, "name").get<std::string>();
+    entry.name = require(one, "name").get<std::string>();
     if (entry.name.empty()) throw ConfigError("a leaf server in 'endpoints' has an empty 'name'");
-    const std::string status = need(one, "status").get<std::string>();
+    const std::string status = require(one, "status").get<std::string>();
     if (status == "Ready")
       entry.state = ServerState::serving;
     else if (status == "Terminating")
@@ -147,11 +147,11 @@
       throw ConfigError("unknown status '" + status + "', expected Ready, Terminating or Gone");
     // Of a removed leaf server the other fields may be absent.
     if (entry.state != ServerState::gone || one.contains("address"))
-      entry.address = readAddress(need(one, "address").get<std::string>());
+      entry.address = readAddress(require(one, "address").get<std::string>());
     const auto zone = std::ranges::find(zones, one.value("zone", std::string()));
     entry.zone = zone == zones.end() ? int(zones.size()) : int(zone - zones.begin());
     if (entry.state != ServerState::gone || one.contains("group"))
-      entry.cell = integer<int>(need(one, "group"), "group");
+      entry.cell = integer<int>(require(one, "group"), "group");
     if (one.contains("since_ms")) entry.startedUnixMs = integer<std::int64_t>(one["since_ms"], "since_ms");
     out.entries.push_back(std::move(entry));
   }
@@ -163,34 +163,34 @@
 Config readConfig(const Json& body) try {
   Config out;
   out.name = body.value("name", "");
-  out.listen = readAddress(need(body, "listen").get<std::string>());
-  out.discovery = readAddress(need(body, "discovery").get<std::string>());
-  if (body.contains("admin")) out.admin = readAddress(need(body, "admin").get<std::string>());
-  const std::string seed = need(body, "seed").get<std::string>();
+  out.listen = readAddress(require(body, "listen").get<std::string>());
+  out.discovery = readAddress(require(body, "discovery").get<std::string>());
+  if (body.contains("admin")) out.admin = readAddress(require(body, "admin").get<std::string>());
+  const std::string seed = require(body, "seed").get<std::string>();
   const char* end = seed.data() + seed.size();
   if (seed.empty() || std::from_chars(seed.data(), end, out.seed, 16).ptr != end)
     throw ConfigError("'seed' is not a hexadecimal number");
   out.grpcFile = body.value("grpc", "");
   out.plansFile = body.value("plans", "");
-  if (body.contains("limits")) out.sockets = body["limits"].value("sockets", out.sockets);
-  const Json& settings = need(body, "settings");
+  if (body.contains("limits")) out.maxDescriptors = body["limits"].value("sockets", out.maxDescriptors);
+  const Json& settings = require(body, "settings");
   if (!settings.is_object()) throw ConfigError("'settings' is not an object");
   checkSettings(settings);
   out.settings = wire::readSettings(settings);
   if (out.settings.classes.empty())
     throw ConfigError("'settings.categories' is empty, expected one class or more");
-  out.host = readHost(settings);
+  out.host = readHostSettings(settings);
   for (const ClassSettings& cls : out.settings.classes) {
     out.host.classRequiredShare.push_back(cls.requiredShare);
     out.host.classMinimumShare.push_back(cls.minimumShare);
   }
   if (out.host.shards <= 0)
     throw ConfigError("'settings.familyInfo.ranges' is out of range, expected 1 shard or more");
-  // The last known list only saves time: if it is malformed, the full list is requested from discovery.
+  // The last known list is an optimization: if it is malformed, the full list is requested from discovery.
   if (body.contains("known") && !body["known"].is_null()) try {
       out.restoredList = readList(body["known"], out.host.zones);
     } catch (const ConfigError& problem) {
-      logLine("'known' is malformed and not used: %s", problem.what());
+      logLine("ignoring malformed 'known': %s", problem.what());
     }
   return out;
 } catch (const Json::exception& problem) {
@@ -201,7 +201,7 @@
 
 Config readReload(const std::string& path, const Config& running) {
   Config out = readConfigFile(path);
-  checkNothingMissing(*running.source, *out.source, "");
+  checkKeysAndTypes(*running.source, *out.source, "");
   return out;
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -15,7 +15,7 @@
 
 namespace cometdeal::net {
 
-// The configuration, or a part of it, is malformed; the text names the place and what was expected.
+// The configuration, or a part of it, is malformed; the message says what is wrong.
 struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -27,12 +27,13 @@
 // last one. Throws ConfigError if any entry is malformed.
 LeafList readList(const nlohmann::json& body, const std::vector<std::string>& zones);
 
+// The content of the configuration file.
 struct Config {
   std::string name;
   Address listen, discovery;
-  std::optional<Address> admin;  // the operators' address, if there is one
+  std::optional<Address> admin;  // the admin address, if there is one
   std::uint64_t seed = 0;
-  int sockets = 1024;  // descriptors that the process may use
+  int maxDescriptors = 1024;  // descriptors that the process may use; the key `sockets`
   Settings settings;
   HostSettings host;
   std::optional<LeafList> restoredList;          // the last known list of leaf servers; the key `known`
--- a/src/config/json.hpp
+++ b/src/config/json.hpp
@@ -19,18 +19,21 @@
   // `node` must outlive this object.
   StrictJson(std::string path, const nlohmann::json& node) : path_(std::move(path)), node_(&node) {}
 
-  // All methods throw ConfigError. The first three read an object: rejectUnknownKeys() rejects each key that
-  // was not requested by find() or require() before.
+  // All methods throw ConfigError.
+
+  // These read an object: rejectUnknownKeys() rejects each key that was not requested by find() or require()
+  // before.
   std::optional<StrictJson> find(const std::string& key);
   StrictJson require(const std::string& key);
   void rejectUnknownKeys() const;
+
   std::vector<StrictJson> list() const;
   std::string string() const;
   std::int64_t integer(std::int64_t minimum, std::int64_t maximum) const;
   double number(double minimum, double maximum) const;
   bool boolean() const;
   std::size_t choice(std::initializer_list<const char*> names) const;  // the index of the value in `names`
-  // Throws an error about this value: `what` says what was expected, or what is wrong.
+  // Throws an error about this value: `what` is the fault, or what was expected.
   [[noreturn]] void fail(const std::string& what) const;
 
  private:
--- a/src/config/yaml.cpp
+++ b/src/config/yaml.cpp
@@ -19,7 +19,7 @@
 const char* kindName(const YAML::Node& node) {
   if (node.IsMap()) return "a mapping";
   if (node.IsSequence()) return "a list";
-  return node.IsNull() ? "nothing" : "a value";
+  return node.IsNull() ? "null" : "a value";
 }
 
 }  // namespace
--- a/src/config/yaml.hpp
+++ b/src/config/yaml.hpp
@@ -37,7 +37,7 @@
   Address address() const;
   std::size_t choice(std::initializer_list<const char*> names) const;  // the index of the value in `names`
 
-  // Throws an error about this node: `what` says what was expected, or what is wrong.
+  // Throws an error about this node: `what` is the fault, or what was expected.
   [[noreturn]] void fail(const std::string& what) const;
 
  private:
--- a/src/front/http/server.cpp
+++ b/src/front/http/server.cpp
@@ -28,14 +28,18 @@
 constexpr Micros kNetworkAllowance = 3'000;
 // For a complete request: from its first byte, or from the connect for the first request of a connection.
 constexpr Micros kRequestTimeout = 2'000'000;
-constexpr Micros kLingerTimeout = 500'000;         // for the client to read the last response and close
-constexpr Micros kIdleTimeout = 60'000'000;        // between requests
-constexpr Micros kCrowdedIdleTimeout = 2'500'000;  // between requests while isCrowded()
-// At the connection limit, a partial request that is older than this no longer protects its connection.
+constexpr Micros kLingerTimeout = 500'000;       // for the client to read the last response and close
+constexpr Micros kIdleTimeout = 60'000'000;      // between requests
+constexpr Micros kShortIdleTimeout = 2'500'000;  // between requests while aboveHalfCapacity()
+// At the connection limit, a connection with an incomplete request may be shed once the request is older than
+// this.
 constexpr Micros kPartialRequestGrace = 300'000;
-// At the connection limit, a new connection is not shed within this time: otherwise new connections would
-// displace each other, each before its request can be read.
+// At the connection limit, a new connection is not shed within this time: otherwise each new connection would
+// cause the previous one to be closed before its request is read.
 constexpr Micros kNewConnectionGrace = 250'000;
+// A connection that has sent a query is not shed while more connections than the larger of kMinNewConnections
+// and 1/kNewConnectionsDivisor of the connection limit are within their grace period.
+constexpr int kMinNewConnections = 2, kNewConnectionsDivisor = 8;
 // At most 1/kIdleConnectionsDivisor of the connections may be idle after a query; beyond that the one that
 // has been idle longest is closed. Clients that query once and stay connected would otherwise use up the
 // connections that the client side may hold, and new queries would wait there.
@@ -47,7 +51,8 @@
 constexpr std::size_t kMaxOutputBytes = 64UL * 1024;  // with more unsent output, the next request waits
 constexpr double kMaxTimeoutSeconds = 3600.0;
 
-constexpr double kWeightSumTolerance = 0.01;  // clients round the weights
+// Clients round the weights: one may exceed 1, and their sum may differ from 1.
+constexpr double kMaxWeight = 1.001, kWeightSumTolerance = 0.01;
 constexpr double kMaxHintMicros = 1e12;
 
 // One or more visible ASCII characters without ',' and '='.
@@ -75,8 +80,11 @@
   return out;
 }
 
-// Reports how each phase of a query went. Three kinds of parts without an answer are distinguished: pruned
-// (left out by the plan), cut (left out for lack of time) and missing (asked for but not received).
+// Reports how each phase of a query went. `asked` counts the parts asked for, `in` those answered. Three
+// kinds of parts without an answer are distinguished: `pruned` (left out by the plan), `cut` (left out for
+// lack of time) and `missing` (asked for but not received). `nothing` counts the parts that were left out
+// because nothing matches on their shard. `ended` is how the phase ended, `ran` what became of the second
+// phase.
 Json accountJson(const phases::Account& account) {
   static constexpr const char* endNames[] = {"whole", "early", "late", "stuck"};
   static constexpr const char* secondPhaseNames[] = {"none", "whole", "cut", "skipped", "failed"};
@@ -108,7 +116,7 @@
   const std::size_t slash = path.rfind('/');
   if (path != "/api" && !path.starts_with("/api/")) return rejection("unknown path", 404);
   if (request.method != "POST") return rejection("a query is a POST", 405);
-  // Other software on the path might use the other one of two such headers.
+  // Duplicates are rejected: a proxy on the way to the mixer might act on the other one of the two values.
   for (const char* name : {"x-request-id", "x-priority-class", "x-timeout", "idempotency-key"})
     if (std::ranges::count(request.headers, name, [](const auto& h) { return h.first; }) > 1)
       return rejection("a header stands twice");
@@ -151,7 +159,7 @@
     if (weight == one.end() || !weight->is_number()) return rejection("a part has no weight");
     const double shardNumber = shard->get<double>(), w = weight->get<double>();
     if (!(shardNumber >= 0 && shardNumber < host.shards)) return rejection("no such shard");
-    if (!(w > 0 && w <= 1.001)) return rejection("a part's weight is no share");
+    if (!(w > 0 && w <= kMaxWeight)) return rejection("a part's weight is no share");
     if (!seen.insert(int(shardNumber)).second) return rejection("a part is named twice");
     if (const auto hint = one.find("hint"); hint != one.end()) {
       if (!hint->is_number() || !(hint->get<double>() >= 0 && hint->get<double>() <= kMaxHintMicros))
@@ -163,8 +171,8 @@
     q.parts.push_back({int(shardNumber), w});
   }
   if (std::abs(sum - 1.0) > kWeightSumTolerance) return rejection("the weights do not add up to 1");
-  // Each weight is rounded by itself: those of 35 parts add up to 1 less 15 millionths, and the answer would
-  // never count as complete. So they are scaled to add up to 1.
+  // Clients round each weight: 35 rounded weights can add up to 0.999985, and no answer would count as
+  // complete. So the weights are scaled to add up to 1.
   for (QueryPart& part : q.parts) part.weight /= sum;
   if (!host.plans.byClass.empty()) q.plan = host.plans.byClass[std::size_t(q.cls)];
   if (const auto plan = body.find("phases"); plan != body.end() && host.plans.allowInQuery) try {
@@ -222,8 +230,8 @@
   std::shared_ptr<tcp::socket> socket;
   explicit Acceptor(HttpServer* owner) : server(owner) {}
   void operator()(error_code ec = {}) {
-    // The accept completed before the listener was closed, but its completion runs only now. If the
-    // connection were closed unread, its request would be lost.
+    // The accept completed before the listener was closed, but its completion runs only now. Closing
+    // the connection unread would lose its request.
     if (!server->acceptor_.is_open() && !ec && socket && socket->is_open())
       return server->onAccepted(std::move(*socket));
     if (!server->acceptor_.is_open()) return;
@@ -323,8 +331,8 @@
 }
 
 // A connection that has been silent for a while is unlikely to have a request under way when it is closed. A
-// connection in frequent use is closed with its next response. One without a request yet will probably send
-// one soon; otherwise its deadline for the first request closes it.
+// connection in frequent use is closed with its next response. One that has not sent a request yet is
+// left open; if no request arrives, its request time-out closes it.
 void HttpServer::handOver() {
   keepAliveStopped_ = true;
   for (const Handle h : connections_.all())
@@ -335,7 +343,7 @@
 
 // A connection in the backlog is established from the client's view, so the backlog is emptied before the
 // listener is closed.
-void HttpServer::finish() {
+void HttpServer::acceptBacklogAndClose() {
   error_code ec;
   while (acceptor_.is_open()) {
     tcp::socket socket(loop_.strand);
@@ -381,7 +389,9 @@
     Connection& c = *connections_.get(h);
     // While many connections are new, wait for their grace period to end: those that send nothing are then
     // shed before a client that has sent a query.
-    if (rank.first == kQueriedRank && newConnections > std::max(2, maxConnections_ / 8)) break;
+    if (rank.first == kQueriedRank &&
+        newConnections > std::max(kMinNewConnections, maxConnections_ / kNewConnectionsDivisor))
+      break;
     error_code ec;
     if (rank.first != 0 && c.socket.available(ec) > 0) continue;  // unread input has arrived
     counters_.add(Counter::clientConnectionsShed);
@@ -418,7 +428,7 @@
   c.self = h;
   c.lastUsedAt = c.requestStartedAt = loop_.now();
   c.requestDueAt = loop_.now() + kRequestTimeout;
-  armDeadline(c);
+  armTimeout(c);
   startReading(c);
 }
 
@@ -426,31 +436,31 @@
   if (!c.reading && !c.closed) Reader(this, connections_.getShared(c.self))();
 }
 
-// Each connection has one deadline: for the current or first request to be complete, for the client's close
-// after the last response, or for the idle time between requests. The deadline of a request is fixed at the
+// Each connection has one time-out: for the current or first request to be complete, for the client's close
+// after the last response, or for the idle time between requests. The time-out of a request is fixed at the
 // connect or at its first byte: a client that sends a byte now and then must not extend it.
-void HttpServer::armDeadline(Connection& c) {
-  loop_.deadlines.cancel(c.deadline);
+void HttpServer::armTimeout(Connection& c) {
+  loop_.deadlines.cancel(c.timeout);
   if (c.closed || c.awaitingAnswer) return;
   const bool begun = c.parser.begun() || !c.input.empty();
   const Micros at = c.closing ? loop_.now() + kLingerTimeout
                     : begun || !c.hasRequested
                         ? c.requestDueAt
-                        : loop_.now() + (isCrowded() ? kCrowdedIdleTimeout : kIdleTimeout);
-  c.deadline = loop_.deadlines.add(at, [this, h = c.self] {
-    if (Connection* due = connections_.get(h)) onDeadline(*due);
+                        : loop_.now() + (aboveHalfCapacity() ? kShortIdleTimeout : kIdleTimeout);
+  c.timeout = loop_.deadlines.add(at, [this, h = c.self] {
+    if (Connection* expired = connections_.get(h)) onTimeout(*expired);
   });
 }
 
-void HttpServer::onDeadline(Connection& c) {
+void HttpServer::onTimeout(Connection& c) {
   const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
-  c.deadline.reset();
+  c.timeout.reset();
   if (c.closing || c.writing) return close(c);  // the client does not read its responses, or does not close
   // Input that has arrived but not been read yet may be a complete request, which must not be dropped.
   error_code ec;
   if (c.socket.available(ec) > 0 && !c.parser.begun() && c.input.empty()) {
     c.requestDueAt = loop_.now() + kRequestTimeout;
-    return armDeadline(c);
+    return armTimeout(c);
   }
   if (!c.parser.begun() && c.input.empty()) return close(c);
   counters_.add(Counter::badRequests);
@@ -466,7 +476,7 @@
   if (first && c.hasRequested) c.requestDueAt = loop_.now() + kRequestTimeout;
   c.input.append(c.readBuffer.data(), bytes);
   processInput(c);
-  if (!c.closed && !c.awaitingAnswer && first) armDeadline(c);
+  if (!c.closed && !c.awaitingAnswer && first) armTimeout(c);
 }
 
 void HttpServer::processInput(Connection& c) {
@@ -496,14 +506,14 @@
   if (request.target == "/up") {
     const bool up = mixer_.hasLeafList() && !draining_;
     // A client that has sent no query may stay connected only while there is plenty of capacity.
-    if (keepAliveStopped_ || (!c.hasQueried && isCrowded())) c.keepAlive = false;
+    if (keepAliveStopped_ || (!c.hasQueried && aboveHalfCapacity())) c.keepAlive = false;
     return respond(c, writeResponse(up ? 200 : 503, "", "", !c.keepAlive));
   }
   ParsedQuery parsed = parseQuery(request, mixer_.host(), c.requestStartedAt);
   parsed.query.deadline = std::min(parsed.query.deadline, answerBy_);
   c.hasQueried = c.hasQueried || parsed.status == 0;
   c.awaitingAnswer = true;
-  loop_.deadlines.cancel(c.deadline);
+  loop_.deadlines.cancel(c.timeout);
   if (parsed.status == 0) {
     const bool accepted = mixer_.submit(
         std::move(parsed.query),
@@ -534,9 +544,9 @@
   c.query = {};
   c.closing = !c.keepAlive;
   c.lastUsedAt = c.requestStartedAt = loop_.now();
-  c.requestDueAt = loop_.now() + kRequestTimeout;  // for a pipelined request, received in part already
+  c.requestDueAt = loop_.now() + kRequestTimeout;  // applies if part of a pipelined request has arrived
   c.output += response;
-  armDeadline(c);
+  armTimeout(c);
   flush(c);
   resumeInput(c);
   trimIdleConnections();
@@ -546,11 +556,10 @@
 void HttpServer::resumeInput(Connection& c) {
   if (c.closed || c.closing || c.input.empty()) return;
   boost::asio::post(loop_.strand, [this, h = c.self] {
-    const std::shared_ptr<Connection> shared =
-        connections_.getShared(h);  // processing may end the connection
-    if (!shared) return;
-    processInput(*shared);
-    startReading(*shared);
+    const std::shared_ptr<Connection> guard = connections_.getShared(h);  // processing may end the connection
+    if (!guard) return;
+    processInput(*guard);
+    startReading(*guard);
   });
 }
 
@@ -563,11 +572,11 @@
     if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) {
       c.writing = true;
       c.socket.async_wait(tcp::socket::wait_write, [this, h = c.self](const error_code&) {
-        const std::shared_ptr<Connection> writable = connections_.getShared(h);
-        if (!writable) return;
-        writable->writing = false;
-        flush(*writable);
-        if (writable->output.empty()) resumeInput(*writable);
+        const std::shared_ptr<Connection> guard = connections_.getShared(h);
+        if (!guard) return;
+        guard->writing = false;
+        flush(*guard);
+        if (guard->output.empty()) resumeInput(*guard);
       });
       break;
     }
@@ -590,7 +599,7 @@
   if (c.closed) return;
   const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   c.closed = true;
-  loop_.deadlines.cancel(c.deadline);
+  loop_.deadlines.cancel(c.timeout);
   error_code ignored;
   c.socket.close(ignored);
   connections_.remove(c.self);
--- a/src/front/http/server.hpp
+++ b/src/front/http/server.hpp
@@ -40,17 +40,18 @@
   // also accepts from. Takes ownership of the descriptor. Throws ConfigError if it is not such a socket.
   void adoptListener(int descriptor, const Address& address);
   bool accepting() const { return acceptor_.is_open() && !draining_; }
-  // From now on /up answers 503, and queries get their final answer by `answerBy` at the latest. A shared
+  // After this call /up answers 503, and queries get their final answer by `answerBy` at the latest. A shared
   // listener is closed: the connections in its backlog are left to the other process.
   void drain(Micros answerBy);
-  // From now on each connection is closed after its next response; closes the idle connections.
+  // After this call each connection is closed after its next response. Idle connections are closed at once.
   void stopKeepAlive();
   // Called repeatedly during a drain in which another process takes over the clients. As stopKeepAlive(), but
-  // closes only those idle connections that have sent a request before and have been silent for a while.
+  // closes only those idle connections that have sent a request before and have been idle for a while
+  // (kHandOverIdleTime).
   void handOver();
-  void finish();      // accepts the connections that wait in the backlog, then closes the listener
-  bool busy() const;  // some connection has unprocessed input, an open query or unsent output
-  std::size_t connections() const { return connections_.size(); }
+  void acceptBacklogAndClose();  // accepts the connections in the backlog, then closes the listener
+  bool busy() const;             // some connection has unprocessed input, an open query or unsent output
+  std::size_t connectionCount() const { return connections_.size(); }
 
  private:
   struct Connection {
@@ -58,7 +59,7 @@
     tcp::socket socket;
     HttpParser parser;
     Handle self, query;
-    bool awaitingAnswer = false;  // a request has been read and its response not yet written
+    bool awaitingAnswer = false;  // a request has been read and its response not yet queued
     bool keepAlive = true;        // as the current request asks for, unless the server decides to close
     bool closing = false;         // the last response has been queued; the connection ends after it
     bool reading = false, writing = false, closed = false;
@@ -68,7 +69,7 @@
     Micros requestDueAt = 0;  // by when a request that has begun, or the first one, must be complete
     std::string input, output;
     std::array<char, 8192> readBuffer;
-    std::optional<Deadlines::Key> deadline;
+    std::optional<Deadlines::Key> timeout;
   };
   struct Reader;
   struct Acceptor;
@@ -82,15 +83,18 @@
   void resumeInput(Connection& c);
   void shutdownSend(Connection& c);
   void close(Connection& c);
-  void armDeadline(Connection& c);
+  void armTimeout(Connection& c);
   void startReading(Connection& c);
   bool isIdle(const Connection& c) const;
-  void onDeadline(Connection& c);
+  void onTimeout(Connection& c);
+  // At the connection limit: closes the connection whose loss does the least harm. Returns false if none may
+  // be closed.
   bool shedConnection();
-  void trimIdleConnections();
+  void trimIdleConnections();  // limits the connections that are idle after a query
   void restartAccepting();
   void restartAcceptingLater();
-  bool isCrowded() const { return int(connections_.size()) > maxConnections_ / 2; }
+  // Above it, idle connections get a shorter time-out, and clients without a query are not kept connected.
+  bool aboveHalfCapacity() const { return int(connections_.size()) > maxConnections_ / 2; }
 
   Loop& loop_;
   Counters& counters_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -33,16 +33,20 @@
 using namespace cometdeal;
 using namespace cometdeal::net;
 
-// Descriptors that client connections may not use: for leaf servers; for discovery, operators, the listener
-// and the standard streams.
+// Descriptors that client connections may not use: kLeafDescriptors are reserved for connections to leaf
+// servers, kOtherDescriptors for discovery, admin connections, the listener and the standard streams.
 constexpr int kLeafDescriptors = 256, kOtherDescriptors = 32;
-// Operators' connections, which use kOtherDescriptors: 1/kAdminConnectionsDivisor of all descriptors, within
-// these bounds.
+// Connections to leaf servers use at most 1/kLeafDescriptorsDivisor of all descriptors.
+constexpr int kLeafDescriptorsDivisor = 3;
+// Client connections that are allowed even if the reserved descriptors leave fewer.
+constexpr int kMinClientConnections = 8;
+// Admin connections, which use kOtherDescriptors: 1/kAdminConnectionsDivisor of all descriptors, within these
+// bounds.
 constexpr int kMinAdminConnections = 4, kMaxAdminConnections = 16, kAdminConnectionsDivisor = 16;
 // After SIGTERM, new connections still arrive for a while, so the program stays up for at least kMinDrainTime
-// even if it is idle. The platform sends SIGKILL kMinDrainTime after the longest deadline, of which it counts
-// kMaxDrainDeadline at most. Queries accepted during the drain get their answer at least kKillMargin before
-// that.
+// even if it is idle. After SIGTERM the platform waits for the longest deadline of the classes, but at most
+// kMaxDrainDeadline, and for kMinDrainTime, then it sends SIGKILL. Queries accepted during the drain are
+// answered at least kKillMargin before that.
 constexpr Micros kMinDrainTime = 700'000, kDrainCheckInterval = 20'000, kMaxDrainDeadline = 3'000'000,
                  kKillMargin = 150'000;
 
@@ -60,10 +64,10 @@
 }
 
 // The gRPC front and the gRPC leaf side; present if the configuration names a file for them.
-struct Grpc {
+struct GrpcModules {
   grpc::Config config;
   LeafSockets leaves;
-  CompositeLeafSide sides;
+  CompositeLeafSide leafSide;
   std::optional<GrpcServer> server;
 
   static ChannelLimits limits(const grpc::Config& grpc, const Config& config, int maxConnections) {
@@ -79,33 +83,33 @@
     out.streamWindowBytes = grpc.streamWindowBytes;
     return out;
   }
-  // `frameLeaves`: the leaf side of HTTP queries. It and the gRPC leaf side are combined in `sides`.
-  Grpc(Loop& loop, Counters& counters, const Config& mixerConfig, LeafSide& frameLeaves, int maxConnections)
+  // `frameLeaves`: the leaf side of HTTP queries. It and the gRPC leaf side are combined in `leafSide`.
+  GrpcModules(Loop& loop, Counters& counters, const Config& mixerConfig, LeafSide& frameLeaves,
+              int maxConnections)
       : config(grpc::readConfigFile(mixerConfig.grpcFile, mixerConfig.host.classNames,
                                     mixerConfig.settings.classes)),
         leaves(loop, std::make_unique<Channels>(limits(config, mixerConfig, maxConnections), &counters)),
-        sides(frameLeaves, leaves) {}
+        leafSide(frameLeaves, leaves) {}
   void listen(Loop& loop, Counters& counters, Mixer& mixer, const HostSettings& host) {
     server.emplace(loop, counters, mixer, config, host.classKeyed, host.shards);
     server->listen();
   }
 };
 #else
-// Replacements for a build without gRPC and YAML: a configuration that asks for them ends the start with an
-// error instead of being ignored.
+// Stubs for a build without gRPC and YAML: startup fails with an error if the configuration requests either.
 void readPlans(const Config& config) {
   if (!config.plansFile.empty()) throw ConfigError("'plans' is set, but this program was built without YAML");
 }
-struct Grpc {
+struct GrpcModules {
   struct NoServer {
     void drain(Micros) {}
     void finish() {}
     bool busy() const { return false; }
   };
   std::optional<NoServer> server;
-  LeafSide& sides;
+  LeafSide& leafSide;
   NoServer leaves;
-  Grpc(Loop&, Counters&, const Config&, LeafSide& frameLeaves, int) : sides(frameLeaves) {
+  GrpcModules(Loop&, Counters&, const Config&, LeafSide& frameLeaves, int) : leafSide(frameLeaves) {
     throw ConfigError("'grpc' is set, but this program was built without gRPC");
   }
   void listen(Loop&, Counters&, Mixer&, const HostSettings&) {}
@@ -125,12 +129,12 @@
                       "' is no descriptor, expected a number from 0 on");
   if (fcntl(out, F_GETFD) < 0)
     throw ConfigError("BALANCER_FD: descriptor " + std::string(text) +
-                      " is not open, expected a socket that listens");
+                      " is not open, expected a listening socket");
   return out;
 }
 
-// The operators' address, from BALANCER_ADMIN or the configuration. Throws ConfigError if the two differ: a
-// process that used one of them could occupy the address of another process.
+// The admin address, from BALANCER_ADMIN or the configuration. Throws ConfigError if the two differ: it is
+// unclear which one is meant, and the wrong one may belong to another process.
 std::optional<Address> adminAddress(const Config& config) {
   const char* text = std::getenv("BALANCER_ADMIN");
   if (!text) return config.admin;
@@ -165,15 +169,15 @@
   Counters counters;
   // During an upgrade the old and the new process share the descriptor limit of one mixer, and neither knows
   // how many the other one uses. So each uses half.
-  const int sockets = descriptorLimit(config.sockets) / (inherited ? 2 : 1);
-  const int leafDescriptors = std::min(kLeafDescriptors, sockets / 3);
+  const int sockets = descriptorLimit(config.maxDescriptors) / (inherited ? 2 : 1);
+  const int leafDescriptors = std::min(kLeafDescriptors, sockets / kLeafDescriptorsDivisor);
   auto connections = std::make_unique<FrameConnections>(
       frameConnectionLimits(config.host, config.settings, leafDescriptors), &counters);
   FrameConnections& frameConnections = *connections;
   LeafSockets leaves(loop, std::move(connections));
-  std::optional<Grpc> grpc;
+  std::optional<GrpcModules> grpc;
   if (!config.grpcFile.empty()) grpc.emplace(loop, counters, config, leaves, leafDescriptors);
-  Mixer mixer(loop, counters, grpc ? static_cast<LeafSide&>(grpc->sides) : leaves, config.settings,
+  Mixer mixer(loop, counters, grpc ? static_cast<LeafSide&>(grpc->leafSide) : leaves, config.settings,
               config.host, config.seed);
   std::optional<std::int64_t> listIndex;
   if (config.restoredList) {
@@ -184,10 +188,11 @@
   discovery.onList = [&](const LeafList& list) {
     mixer.updateLeafList(list, list.fullSnapshot ? ListKind::complete : ListKind::changes);
   };
-  HttpServer httpServer(loop, counters, mixer, std::max(8, sockets - leafDescriptors - kOtherDescriptors));
+  HttpServer httpServer(loop, counters, mixer,
+                        std::max(kMinClientConnections, sockets - leafDescriptors - kOtherDescriptors));
   const auto processStatus = [&] {
     ProcessStatus out;
-    out.outstanding = mixer.openQueries();
+    out.openQueries = mixer.openQueries();
     const Aggregator::ServerCounts listed = mixer.listed();
     out.discovered = listed.total;
     out.ejected = listed.avoided;
@@ -197,7 +202,7 @@
   };
   AdminServer admin(
       loop, std::clamp(sockets / kAdminConnectionsDivisor, kMinAdminConnections, kMaxAdminConnections),
-      [&](const std::string& call) { return answerCall(call, processStatus(), counters); });
+      [&](const std::string& command) { return answerCommand(command, processStatus(), counters); });
   // The listener for HTTP clients opens last, so that every client that can connect is served.
   if (adminListen) listenOn(admin, *adminListen);
   if (grpc) grpc->listen(loop, counters, mixer, config.host);
@@ -209,10 +214,11 @@
   logLine("%s: listening on %s:%u", config.name.c_str(), config.listen.host.c_str(),
           unsigned(config.listen.port));
 
-  // A reload applies the settings and the address of discovery, all or nothing; queries, connections and what
-  // the module has learned stay as they are. A change of what is used only at the start (addresses, seed,
-  // limits, other files) takes a restart.
-  const int retainedClasses = grpc ? int(config.settings.classes.size()) : 0;  // gRPC routes use the index
+  // A reload applies the settings and the address of discovery, all or nothing. Queries, connections and the
+  // statistics of the decision module stay as they are. A change of what is used only at the start
+  // (addresses, seed, limits, other files) requires a restart. gRPC routes refer to classes by index, so the
+  // indices of these classes keep their meaning in a reload.
+  const int retainedClasses = grpc ? int(config.settings.classes.size()) : 0;
   std::function<void()> waitReload = [&] {
     signals.reload.async_wait([&](const boost::system::error_code& ec, int) {
       if (ec) return;
@@ -226,7 +232,7 @@
                 toString(next.discovery).c_str(), int(next.settings.classes.size()));
         config.settings = next.settings;
         config.source = next.source;
-      } catch (const ConfigError& problem) {  // a bad file must not end a process that serves
+      } catch (const ConfigError& problem) {  // a malformed file must not end the running process
         counters.add(Counter::reloadsFailed);
         logLine("%s: not reloaded: %s", config.name.c_str(), problem.what());
       }
@@ -245,15 +251,17 @@
   Micros longestDeadline = 0, stoppedAt = 0;
   const auto grpcBusy = [&] { return grpc && grpc->server->busy(); };
   std::function<void()> continueDrain = [&] {
-    if (inherited) httpServer.handOver();  // another process serves clients that connect again
+    // With an inherited listener another process accepts the clients that reconnect.
+    if (inherited) httpServer.handOver();
     if (loop.now() - stoppedAt >= longestDeadline) httpServer.stopKeepAlive();
-    if (httpServer.connections() > 0 && loop.now() - stoppedAt < longestDeadline) {
-      // Another mixer may be down at the same time: clients that stay connected are served as long as
-      // possible.
+    if (httpServer.connectionCount() > 0 && loop.now() - stoppedAt < longestDeadline) {
+      // Keep serving the connected clients until the longest deadline has passed: there may be no other mixer
+      // that is available to them.
     } else if (loop.now() - stoppedAt >= kMinDrainTime && mixer.openQueries() == 0 && !httpServer.busy() &&
                !grpcBusy()) {
-      // Nothing is open any more. The backlog is accepted, and the queries that it brings are finished too.
-      httpServer.finish();
+      // No query is open. The connections in the backlog are accepted, and their queries are answered before
+      // the exit.
+      httpServer.acceptBacklogAndClose();
       if (grpc) grpc->server->finish();
       if (!httpServer.busy() && !grpcBusy() && mixer.openQueries() == 0) return loop.io.stop();
     }
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -1,19 +1,24 @@
 // Runs one scenario file: starts the mixer with scripted peers on loopback and executes the commands line by
-// line. NAME and C stand for listeners and connections. TEXT may contain \r \n \\ and $NAME (the address of a
-// listener; $SCENARIOS is the folder of the scenarios). PATTERN is text in which * matches any characters.
-// Only `wait` depends on time; `expect` waits up to 20 s.
+// line. Lines that start with # are comments. NAME: a listener. C: a connection. TEXT may contain \r \n
+// \\ and $NAME (the address of a listener; $SCENARIOS is the folder of the scenarios). PATTERN is text in
+// which * matches any characters; it must match the entire text. Only `wait` depends on time; `expect` waits
+// up to 20 s. At the end of a scenario that has not awaited the exit, the mixer gets SIGTERM, must report no
+// backstops and no defects, and must exit with status 0.
 //
 //   leaf NAME CELL             opens a listener for a ready leaf server of the last known list (`known`)
-//   absent NAME CELL           the same, but nothing listens at the address
-//   listen NAME                opens a listener; D, for discovery, is always open
+//   absent NAME CELL           the same, but connections to its address are refused
+//   listen NAME                opens a listener; the listener D, for discovery, is open from the start
 //   start [PATH=JSON ...]      starts the mixer with changed settings
 //   configure [PATH=JSON ...]  changes further settings and writes the configuration file again
 //   connect C                  connects to the mixer as a client
 //   accept C NAME              accepts a connection at the listener
 //   send C raw TEXT | http STATUS BODY | frame LETTER TEXT | query ID CLASS SECONDS SHARDS
-//   expect C status CODE PATTERN | frame LETTER PATTERN | request PATTERN | end
-//   expect log PATTERN | exit CODE
-//   close C | reset C | wait MS | signal NAME
+//   expect C status CODE PATTERN    a response; PATTERN matches `NAME: VALUE; ` of each header, then the body
+//   expect C request PATTERN        a request; PATTERN matches `METHOD TARGET`
+//   expect C frame LETTER PATTERN   a frame
+//   expect C end                    the end of the connection
+//   expect log PATTERN | exit CODE  a line of the mixer's log (lines before it are skipped); its exit status
+//   close C | reset C | wait MS | signal TERM | signal HUP | signal USR1
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -46,9 +51,9 @@
 
 namespace {
 
-std::string where;  // file and line of the current command, for failures
+std::string currentLine;  // file and line of the current command, for failures
 void check(bool good, const std::string& what) {
-  if (!good) std::fprintf(stderr, "%s: %s\n", where.c_str(), what.c_str());
+  if (!good) std::fprintf(stderr, "%s: %s\n", currentLine.c_str(), what.c_str());
   assert(good);
 }
 
@@ -56,6 +61,7 @@
   int fd = -1;
   std::string in;
   HttpParser requests{HttpParser::Kind::request}, responses{HttpParser::Kind::response};
+  // The letters of the frames that the mixer sends to leaf servers.
   FrameReader frames{"DKIU"};
 };
 std::map<std::string, Peer> peers;
@@ -63,9 +69,9 @@
 Json endpoints = Json::array();
 Json config;
 std::string mixerAddress, configFile;
-pid_t program = -1;
+pid_t mixerPid = -1;
 int exitStatus = -1;
-Peer log;
+Peer logPipe;
 
 bool matches(const char* pattern, const char* text) {
   if (!*pattern) return !*text;
@@ -180,8 +186,8 @@
   configure(words);
   int pipes[2];
   check(pipe2(pipes, O_CLOEXEC) == 0, "pipe");
-  program = fork();
-  if (program == 0) {
+  mixerPid = fork();
+  if (mixerPid == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);  // the mixer ends when a failed scenario ends
     dup2(pipes[1], 2);
     setenv("BALANCER_CONFIG", configFile.c_str(), 1);
@@ -189,7 +195,7 @@
     _exit(127);
   }
   close(pipes[1]);
-  log.fd = pipes[0];
+  logPipe.fd = pipes[0];
 }
 void connectClient(const std::string& name) {
   const sockaddr_in to = socketAddress(mixerAddress);
@@ -231,17 +237,18 @@
 void expectLog(const std::string& pattern) {
   for (;;) {
     std::size_t end;
-    while ((end = log.in.find('\n')) == std::string::npos) check(readMore(log), "not in the log: " + pattern);
-    const std::string line = log.in.substr(0, end);
-    log.in.erase(0, end + 1);
+    while ((end = logPipe.in.find('\n')) == std::string::npos)
+      check(readMore(logPipe), "not in the log: " + pattern);
+    const std::string line = logPipe.in.substr(0, end);
+    logPipe.in.erase(0, end + 1);
     if (matches(pattern.c_str(), line.c_str())) return;
   }
 }
 void expectExit(int status) {
-  for (int tries = 0; tries < 1000 && program > 0; ++tries) {
+  for (int tries = 0; tries < 1000 && mixerPid > 0; ++tries) {
     int waitStatus = 0;
-    if (waitpid(program, &waitStatus, WNOHANG) == program) {
-      program = -1;
+    if (waitpid(mixerPid, &waitStatus, WNOHANG) == mixerPid) {
+      mixerPid = -1;
       exitStatus = WIFEXITED(waitStatus) ? WEXITSTATUS(waitStatus) : 128 + WTERMSIG(waitStatus);
     }
     usleep(20'000);
@@ -280,7 +287,7 @@
     peers[name] = Peer{};
     peers[name].fd = fd;
   } else if (command == "signal") {
-    kill(program, name == "TERM" ? SIGTERM : name == "HUP" ? SIGHUP : SIGUSR1);
+    kill(mixerPid, name == "TERM" ? SIGTERM : name == "HUP" ? SIGHUP : SIGUSR1);
   } else if (command == "close" || command == "reset") {
     const linger abortive{1, 0};  // close() resets the connection
     if (command == "reset") setsockopt(peer(name).fd, SOL_SOCKET, SO_LINGER, &abortive, sizeof abortive);
@@ -288,13 +295,13 @@
     peers.erase(name);
   } else if (command == "send") {
     words >> what;
-    std::string head;
+    std::string statusOrLetter;
     if (what == "raw") return sendText(peer(name), restOfLine(words));
     if (what == "query") return sendText(peer(name), queryText(words));
-    words >> head;
-    if (what == "frame") return sendText(peer(name), writeFrame(head[0], restOfLine(words)));
+    words >> statusOrLetter;
+    if (what == "frame") return sendText(peer(name), writeFrame(statusOrLetter[0], restOfLine(words)));
     check(what == "http", "unknown command: " + line);
-    sendText(peer(name), writeResponse(std::stoi(head), "", restOfLine(words), false));
+    sendText(peer(name), writeResponse(std::stoi(statusOrLetter), "", restOfLine(words), false));
   } else if (command == "expect" && name == "log") {
     expectLog(restOfLine(words));
   } else if (command == "expect" && name == "exit") {
@@ -302,13 +309,13 @@
   } else {
     check(command == "expect", "unknown command: " + line);
     Peer& p = peer(name);
-    std::string head, got;
+    std::string statusOrLetter, got;
     words >> what;
     if (what == "end") {
       check(p.in.empty() && !readMore(p), "expected the connection to end, received: " + p.in);
       return;
     }
-    if (what != "request") words >> head;
+    if (what != "request") words >> statusOrLetter;
     if (what == "frame") {
       const Frame frame = readFrame(p);
       got = frame.letter + std::string(" ") + frame.content;
@@ -322,7 +329,7 @@
       for (const auto& [header, value] : m.headers) got += header + ": " + value + "; ";
       got += m.body;
     }
-    const std::string pattern = (head.empty() ? "" : head + " ") + restOfLine(words);
+    const std::string pattern = (statusOrLetter.empty() ? "" : statusOrLetter + " ") + restOfLine(words);
     check(matches(pattern.c_str(), got.c_str()), "expected " + pattern + "\n  got " + got);
   }
 }
@@ -339,12 +346,12 @@
   const std::string path = arguments[1];
   addresses["SCENARIOS"] = path.substr(0, path.rfind('/'));
   while (std::getline(file, line)) {
-    where = std::string(arguments[1]) + ":" + std::to_string(++lineNumber);
+    currentLine = std::string(arguments[1]) + ":" + std::to_string(++lineNumber);
     runCommand(line);
   }
   check(lineNumber > 0, "the scenario file is missing or empty");
-  if (program > 0) {  // after every scenario the mixer stops in order and has counted no defect
-    kill(program, SIGTERM);
+  if (mixerPid > 0) {  // the mixer must exit cleanly, without backstops or defects
+    kill(mixerPid, SIGTERM);
     expectLog("counter backstops 0");
     expectLog("counter defects 0");
     expectExit(0);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,6 +1,6 @@
-// Tests of the upgrade of a mixer that serves (its replacement by a new process), of the operators' address
-// and of reloads. They start processes of the mixer program on an inherited listener, with scripted leaf
-// servers, clients and operators. `upgrade_test NAME` runs one test.
+// Tests of the upgrade of a mixer that serves (its replacement by a new process), of the admin address and of
+// reloads. They start processes of the mixer program on an inherited listener, with scripted leaf servers,
+// clients and admin clients. `upgrade_test NAME` runs one test.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -114,20 +114,20 @@
   close(fd);
   return out;
 }
-// The reply to a call at the operators' address; empty if nothing listens there.
-std::string call(std::uint16_t port, const std::string& bytes) {
+// The reply to a command at the admin address; empty if nothing listens there.
+std::string adminReply(std::uint16_t port, const std::string& bytes) {
   const int fd = connectTo(port);
   if (fd < 0) return "";
   check(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) == ssize_t(bytes.size()), "send");
   return readAll(fd);
 }
 Json vars(std::uint16_t port) {
-  const std::string text = call(port, "vars\n");
+  const std::string text = adminReply(port, "vars\n");
   check(text.ends_with("\n.\n"), "vars: " + text);
   return Json::parse(text.substr(0, text.size() - 3));
 }
 
-// Two leaf servers, and the platform's part: the listener, the configuration, the start of processes.
+// Two leaf servers, and what the platform provides: the listener, the configuration, the start of processes.
 struct TestBed {
   Loop loop;
   std::vector<std::unique_ptr<FrameLeaf>> leaves;
@@ -213,7 +213,8 @@
     }
   }
   void waitReady(const Process& p) {
-    waitUntil([&] { return call(p.admin, "check\r\n").starts_with("+OK"); }, "ready: " + readFile(p.log));
+    waitUntil([&] { return adminReply(p.admin, "check\r\n").starts_with("+OK"); },
+              "ready: " + readFile(p.log));
   }
   void expectExit(Process& p, int status) {
     waitUntil([&] { return p.ended(); }, "exit of the process");
@@ -227,7 +228,7 @@
 };
 
 // Clients that send the next query as soon as they have an answer, on persistent connections.
-struct Load {
+struct LoadGenerator {
   TestBed& testBed;
   struct Client {
     std::unique_ptr<HttpClient> connection;
@@ -240,12 +241,12 @@
   bool running = true;
   bool connectEachTime = false;  // each request on a new connection
 
-  Load(TestBed& bed, int number) : testBed(bed), clients(std::size_t(number)) {}
-  void step() {
+  LoadGenerator(TestBed& bed, int clientCount) : testBed(bed), clients(std::size_t(clientCount)) {}
+  void sendWhereIdle() {
     for (Client& c : clients)
-      if (running && !c.waiting) ask(c);
+      if (running && !c.waiting) sendQuery(c);
   }
-  void ask(Client& c) {
+  void sendQuery(Client& c) {
     if (!c.connection || connectEachTime || c.connection->closedByPeer())
       c.connection = std::make_unique<HttpClient>(testBed.loop, testBed.port);
     HttpQuery q;
@@ -264,10 +265,10 @@
   }
   // Runs the load until done() returns true; `what` is for the failure text.
   void runUntil(const std::function<bool()>& done, const std::string& what) {
-    testBed.waitUntil([&] { return step(), done(); }, what);
+    testBed.waitUntil([&] { return sendWhereIdle(), done(); }, what);
   }
-  void awaitAnswers(int number) {
-    const int target = answered + number;
+  void awaitAnswers(int answerCount) {
+    const int target = answered + answerCount;
     runUntil([&] { return answered >= target; }, "more answers");
   }
   // Sends no more queries and waits for the answers to those sent.
@@ -340,24 +341,25 @@
   check(readFile(p.log).find("cannot listen on " + local(bed.port) + ": ") != std::string::npos,
         "no error that the address is in use");
   for (const int fd : {other, silent, datagrams, file}) close(fd);
-  check(call(serving.admin, "check\n").starts_with("+OK"), "the serving process is not ready");
-  Load load(bed, 4);
+  check(adminReply(serving.admin, "check\n").starts_with("+OK"), "the serving process is not ready");
+  LoadGenerator load(bed, 4);
   load.awaitAnswers(50);
   load.finish();
   check(load.count("plain", {0}) + load.count("once", {0}) == 0, "requests were lost");
 }
 
-// The operators' address: every call gets its reply, however many other connections are open there.
-void adminCalls() {
+// The admin address: every command gets its reply, however many other connections are open there.
+void adminCommands() {
   TestBed bed;
   bed.config["limits"]["sockets"] = 256;
   const Json known = bed.config["known"];
   bed.config["known"] = nullptr;
-  Process& listless = bed.start();
-  bed.waitUntil([&] { return call(listless.admin, "check\n").starts_with("-ERR not ready: "); }, "a reply");
-  check(vars(listless.admin)["discovered"] == 0, "leaf servers without a list");
-  kill(listless.pid, SIGKILL);
-  bed.expectExit(listless, 128 + SIGKILL);
+  Process& withoutList = bed.start();
+  bed.waitUntil([&] { return adminReply(withoutList.admin, "check\n").starts_with("-ERR not ready: "); },
+                "a reply");
+  check(vars(withoutList.admin)["discovered"] == 0, "leaf servers without a list");
+  kill(withoutList.pid, SIGKILL);
+  bed.expectExit(withoutList, 128 + SIGKILL);
 
   bed.config["known"] = known;
   Process& p = bed.start();
@@ -382,18 +384,18 @@
            {overlong + "\n", "-ERR call over 64 bytes"},
            {std::string("\0\x01\xff\n", 4), "-ERR call is not text"},
            {"GET / HTTP/1.1\r\n\r\n", "-ERR unknown call"}})
-    check(call(p.admin, request).starts_with(reply), request + " -> " + call(p.admin, request));
-  // A call sent byte by byte, a call ended by a half-close instead of a line end, and callers that reset the
-  // connection before the reply.
+    check(adminReply(p.admin, request).starts_with(reply), request + " -> " + adminReply(p.admin, request));
+  // A command sent byte by byte, a command ended by a half-close instead of a line end, and clients that
+  // reset the connection before the reply.
   const int trickling = connectTo(p.admin);
   for (const char c : std::string("check\n")) {
     check(send(trickling, &c, 1, MSG_NOSIGNAL) == 1, "send");
     usleep(2000);
   }
-  check(readAll(trickling).starts_with("+OK"), "a call sent byte by byte");
+  check(readAll(trickling).starts_with("+OK"), "a command sent byte by byte");
   const int half = connectTo(p.admin);
   check(send(half, "check", 5, MSG_NOSIGNAL) == 5 && shutdown(half, SHUT_WR) == 0, "send");
-  check(readAll(half).starts_with("+OK"), "a call ended by a half-close");
+  check(readAll(half).starts_with("+OK"), "a command ended by a half-close");
   for (int k = 0; k < 20; ++k) {
     const int leaving = connectTo(p.admin);
     const linger abortive{1, 0};  // close() resets the connection
@@ -401,32 +403,33 @@
     check(send(leaving, "vars\n", 5, MSG_NOSIGNAL) == 5, "send");
     close(leaving);
   }
-  // A thousand connections hold an incomplete call: other calls get replies, and clients are served.
+  // A thousand connections with an incomplete command stay open: other commands get replies, and clients are
+  // served.
   std::vector<int> holders;
-  Load load(bed, 4);
+  LoadGenerator load(bed, 4);
   for (int k = 0; k < 1000; ++k) {
     holders.push_back(connectTo(p.admin));
-    check(holders.back() >= 0, "the operators' address does not accept connections");
+    check(holders.back() >= 0, "the admin address does not accept connections");
     send(holders.back(), "va", 2, MSG_NOSIGNAL);
     if (k % 100 != 99) continue;
     const Micros sentAt = bed.loop.now();
     check(vars(p.admin).contains("forwards"), "vars");
     check(bed.loop.now() - sentAt < 10'000 * kMs,
-          "a reply took 10 s or more");  // required: 1 s; the machine may be busy
+          "a reply took 10 s or more");  // the requirement is 1 s; 10 s allows for a slow machine
     load.awaitAnswers(10);
   }
   for (const int fd : holders) close(fd);
   load.finish();
   check(load.count("plain", {0}) + load.count("once", {0}) == 0, "requests were lost");
   kill(p.pid, SIGTERM);
-  bed.waitUntil([&] { return !call(p.admin, "check\n").starts_with("+OK"); }, "no longer ready");
+  bed.waitUntil([&] { return !adminReply(p.admin, "check\n").starts_with("+OK"); }, "no longer ready");
   bed.expectExit(p, 0);
   check(p.counter("defects") == 0, "defects");
 }
 
-// Replaces `old` by `next` while clients send queries and operators make calls.
-void replace(Load& load, Process& old, const Process& next) {
-  load.runUntil([&] { return call(next.admin, "check\n").starts_with("+OK"); }, "ready");
+// Replaces `old` by `next` while clients send queries and admin commands.
+void replace(LoadGenerator& load, Process& old, const Process& next) {
+  load.runUntil([&] { return adminReply(next.admin, "check\n").starts_with("+OK"); }, "ready");
   load.awaitAnswers(20);
   kill(old.pid, SIGTERM);
   load.runUntil(
@@ -438,16 +441,16 @@
   check(old.status == 0, "status " + std::to_string(old.status) + "\n" + readFile(old.log));
   check(old.counter("defects") == 0 && old.counter("backstops") == 0, "defects");
   load.awaitAnswers(20);
-  check(load.count("plain", {0}) + load.count("once", {0}) == 0, "a request met a closed connection");
+  check(load.count("plain", {0}) + load.count("once", {0}) == 0, "a connection was closed before its answer");
 }
 
 // Whether the socket is still in an epoll set of the process. A closed descriptor stays in the set for as
 // long as another process holds the socket.
-bool watchesSocket(const Process& p, int socket) {
-  struct stat held {};
-  check(fstat(socket, &held) == 0, "fstat");
+bool inEpollSet(const Process& p, int socket) {
+  struct stat socketStatus {};
+  check(fstat(socket, &socketStatus) == 0, "fstat");
   std::ostringstream wanted;
-  wanted << "ino:" << std::hex << held.st_ino << ' ';
+  wanted << "ino:" << std::hex << socketStatus.st_ino << ' ';
   for (const auto& one : std::filesystem::directory_iterator("/proc/" + std::to_string(p.pid) + "/fdinfo"))
     if (readFile(one.path()).find(wanted.str()) != std::string::npos) return true;
   return false;
@@ -460,7 +463,7 @@
   TestBed bed;
   Process& old = bed.start();
   bed.waitReady(old);
-  Load load(bed, 8);
+  LoadGenerator load(bed, 8);
   load.awaitAnswers(300);
   // Clients that are idle after a query; later, one that sends its query only after the old process has begun
   // to drain.
@@ -480,12 +483,13 @@
   check(send(writer, slowText.data(), 40, MSG_NOSIGNAL) == 40, "send");
   load.awaitAnswers(20);
   Process& next = bed.start();
-  load.runUntil([&] { return call(next.admin, "check\n").starts_with("+OK"); }, "ready");
+  load.runUntil([&] { return adminReply(next.admin, "check\n").starts_with("+OK"); }, "ready");
   load.awaitAnswers(50);
-  check(watchesSocket(old, bed.listener) && watchesSocket(next, bed.listener), "the listener is not watched");
+  check(inEpollSet(old, bed.listener) && inEpollSet(next, bed.listener),
+        "the listener is not in the epoll set");
   kill(old.pid, SIGTERM);
-  load.runUntil([&] { return call(old.admin, "check\n").starts_with("-ERR"); }, "stopping");
-  check(!watchesSocket(old, bed.listener), "the old process still watches the listener");
+  load.runUntil([&] { return adminReply(old.admin, "check\n").starts_with("-ERR"); }, "stopping");
+  check(!inEpollSet(old, bed.listener), "the listener is still in the epoll set of the old process");
   q.id = "f0", q.text = "t";
   const std::string freshText = q.request();
   check(send(fresh, freshText.data(), freshText.size(), MSG_NOSIGNAL) == ssize_t(freshText.size()), "send");
@@ -497,27 +501,27 @@
   for (const auto& c : idle) check(c->closedByPeer(), "an idle connection was not closed");
   load.awaitAnswers(50);
   load.finish();
-  const Json now = vars(next.admin);
+  const Json reported = vars(next.admin);
   kill(next.pid, SIGTERM);
   bed.expectExit(next, 0);
   for (const std::string cls : {"plain", "once"}) {
     const auto both = [&](const std::string& name) {
-      check(now[name][cls] == next.counter(name + "." + cls), name + ": " + now.dump());
+      check(reported[name][cls] == next.counter(name + "." + cls), name + ": " + reported.dump());
       return int(old.counter(name + "." + cls) + next.counter(name + "." + cls));
     };
-    const int more = cls == "plain" ? 7 : 0;  // the idle clients, `writer` and `fresh`
-    check(both("succeeded") == load.count(cls, {200}) + more, "succeeded " + cls);
+    const int extraClients = cls == "plain" ? 7 : 0;  // the idle clients, `writer` and `fresh`
+    check(both("succeeded") == load.count(cls, {200}) + extraClients, "succeeded " + cls);
     check(both("declined") == load.count(cls, {429, 503}), "declined " + cls);
     check(both("aborted") == load.count(cls, {400, 504}), "aborted " + cls);
     check(load.count(cls, {200}) > 0 && load.count(cls, {400}) > 0, "no answers 200 or 400 for " + cls);
-    check(load.count(cls, {0}) == 0, "a request met a closed connection");
+    check(load.count(cls, {0}) == 0, "a connection was closed before its answer");
   }
   check(load.count("plain", {503}) > 0 && load.count("once", {504}) > 0,
         "no answers 503 for plain or 504 for once");
   check(old.counter("forwards") + next.counter("forwards") == bed.receivedParts(), "forwards");
   check(old.counter("succeeded.plain") > 0 && next.counter("succeeded.plain") > 0,
         "one process served all queries");
-  check(std::filesystem::is_empty(kFolder / "tmp"), "something was left behind");
+  check(std::filesystem::is_empty(kFolder / "tmp"), "TMPDIR is not empty");
 }
 
 // A new process without a list of leaf servers accepts no connection, neither while it runs nor when it is
@@ -526,17 +530,17 @@
   TestBed bed;
   Process& old = bed.start();
   bed.waitReady(old);
-  Load load(bed, 8);
+  LoadGenerator load(bed, 8);
   load.awaitAnswers(50);
   const Json known = bed.config["known"];
   bed.config["known"] = nullptr;
-  Process& listless = bed.start();
-  load.runUntil([&] { return call(listless.admin, "check\n").starts_with("-ERR not ready"); },
+  Process& withoutList = bed.start();
+  load.runUntil([&] { return adminReply(withoutList.admin, "check\n").starts_with("-ERR not ready"); },
                 "reply: not ready");
   load.connectEachTime = true;  // so that either process could accept them
   load.awaitAnswers(400);
-  kill(listless.pid, SIGKILL);
-  load.runUntil([&] { return listless.ended(); }, "exit of the new process");
+  kill(withoutList.pid, SIGKILL);
+  load.runUntil([&] { return withoutList.ended(); }, "exit of the new process");
   load.awaitAnswers(200);
   load.finish();
   check(load.count("plain", {0}) + load.count("once", {0}) == 0, "requests were lost");
@@ -549,9 +553,9 @@
 // Twenty upgrades in a row: no files are left behind and no descriptors leak from process to process.
 void twentyReplacements() {
   TestBed bed;
-  Process* now = &bed.start();
-  bed.waitReady(*now);
-  Load load(bed, 4);
+  Process* current = &bed.start();
+  bed.waitReady(*current);
+  LoadGenerator load(bed, 4);
   const auto descriptors = [](const Process& p) {
     const std::filesystem::path fds = "/proc/" + std::to_string(p.pid) + "/fd";
     return std::distance(std::filesystem::directory_iterator(fds), {});
@@ -559,13 +563,13 @@
   std::ptrdiff_t first = 0;
   for (int k = 0; k < 20; ++k) {
     Process& next = bed.start();
-    replace(load, *now, next);
-    now = &next;
+    replace(load, *current, next);
+    current = &next;
     if (k == 0) first = descriptors(next);
     check(descriptors(next) <= first + 8, "descriptors leak");  // 8 more: client connections vary
   }
   load.finish();
-  check(std::filesystem::is_empty(kFolder / "tmp"), "something was left behind");
+  check(std::filesystem::is_empty(kFolder / "tmp"), "TMPDIR is not empty");
 }
 
 // Malformed files at SIGHUP are rejected entirely, the log names the key, and the running settings stay in
@@ -613,7 +617,8 @@
       {"/settings/limits/maxAttempts", "null", "maxAttempts' is null"},
       {"/settings/limits/maxAttempts", "0.5", "maxAttempts' is 0.5, expected 1 or more"},
       {"/settings/categories", "[]", "'settings.categories' is empty, expected one class or more"},
-      {"/settings/categories/1/name", "\"plain\"", "is 'plain' a second time, expected unique class names"},
+      {"/settings/categories/1/name", "\"plain\"",
+       "is 'plain', which another class already uses, expected unique class names"},
       {"/settings/categories/1/name", "\"\"", "name' is empty"},
       {"/settings/categories/1/effect", "\"maybe\"", "unknown effect 'maybe'"},
       {"/settings/familyInfo/ranges", "0",
@@ -651,7 +656,7 @@
   kill(p.pid, SIGHUP);
   bed.waitUntil([&] { return vars(p.admin)["sighup_rejected"] == rejected + 1; }, "rejected: no file");
   check(vars(p.admin)["sighup_applied"] == 0, "a bad file was applied");
-  Load load(bed, 4);
+  LoadGenerator load(bed, 4);
   load.awaitAnswers(100);
   load.finish();
   check(load.count("plain", {200}) > 0 && load.count("once", {200}) > 0,
@@ -758,7 +763,7 @@
 }
 
 // Signals before the configuration is read: none is lost, and none ends the process by the system's default
-// action. The configuration is a pipe, so that the process waits for it.
+// action. The configuration is a pipe, so that the process blocks until it is written.
 void earlySignals() {
   TestBed bed;
   const std::filesystem::path file = kFolder / "fifo";
@@ -800,7 +805,7 @@
 
 int main(int count, char** arguments) {
   const std::map<std::string, void (*)()> tests = {
-      {"bad", failedStarts},        {"admin", adminCalls},          {"load", replaceUnderLoad},
+      {"bad", failedStarts},        {"admin", adminCommands},       {"load", replaceUnderLoad},
       {"killed", newProcessKilled}, {"twenty", twentyReplacements}, {"early", earlySignals},
       {"reload", rejectedReloads},  {"retune", changedSettings}};
   assert(count == 2 && tests.contains(arguments[1]));
