--- a/src/front/http/server.cpp
+++ b/src/front/http/server.cpp
@@ -37,9 +37,9 @@
 // At the connection limit, a new connection is not shed within this time: otherwise each new connection would
 // cause the previous one to be closed before its request is read.
 constexpr Micros kNewConnectionGrace = 250'000;
-// A connection that has sent a query is not shed while more connections than the larger of kMinNewConnections
-// and 1/kNewConnectionsDivisor of the connection limit are within their grace period.
-constexpr int kMinNewConnections = 2, kNewConnectionsDivisor = 8;
+// A connection that has sent a query is not shed while more than 1/kNewConnectionsDivisor of the connections,
+// and more than 2, are within their grace period.
+constexpr int kNewConnectionsDivisor = 8;
 // At most 1/kIdleConnectionsDivisor of the connections may be idle after a query; beyond that the one that
 // has been idle longest is closed. Clients that query once and stay connected would otherwise use up the
 // connections that the client side may hold, and new queries would wait there.
@@ -389,8 +389,7 @@
     Connection& c = *connections_.get(h);
     // While many connections are new, wait for their grace period to end: those that send nothing are then
     // shed before a client that has sent a query.
-    if (rank.first == kQueriedRank &&
-        newConnections > std::max(kMinNewConnections, maxConnections_ / kNewConnectionsDivisor))
+    if (rank.first == kQueriedRank && newConnections > std::max(2, maxConnections_ / kNewConnectionsDivisor))
       break;
     error_code ec;
     if (rank.first != 0 && c.socket.available(ec) > 0) continue;  // unread input has arrived
