--- a/bench/grpc_bench.cpp
+++ b/bench/grpc_bench.cpp
@@ -1,7 +1,7 @@
-// Measures what the mixer costs gRPC calls: the same client calls the same leaf server directly and through a
-// mixer, in one run. Leaf server, mixer and client are processes of their own on loopback. Each load is a
-// closed loop with a fixed number of concurrent calls and a fixed duration. Prints a table; the ratios are
-// its result, because absolute figures depend on the machine.
+// Measures the overhead of the mixer on gRPC calls: the same client calls the same leaf server directly and
+// through a mixer, in one run. Leaf server, mixer and client are processes of their own on loopback. Each
+// load is a closed loop with a fixed number of concurrent calls and a fixed duration. Prints a table; the
+// ratios are its result, because absolute figures depend on the machine.
 //
 // Then measures HTTP queries at a constant rate, alone and together with gRPC calls in the same mixer, and
 // the mixer's memory for each idle connection and each open stream.
@@ -48,7 +48,7 @@
 
 struct Child {
   pid_t pid = 0;
-  std::uint16_t port = 0, secondPort = 0;  // gRPC; frames (leaf server) or HTTP (mixer)
+  std::uint16_t port = 0, frameOrHttpPort = 0;  // gRPC; frames (leaf server) or HTTP (mixer)
   // CPU time so far, in seconds.
   double cpu() const {
     std::ifstream in("/proc/" + std::to_string(pid) + "/stat");
@@ -83,11 +83,11 @@
   if (read(pipes[0], ports, sizeof ports) != sizeof ports) std::abort();
   close(pipes[0]);
   out.port = ports[0];
-  out.secondPort = ports[1];
+  out.frameOrHttpPort = ports[1];
   return out;
 }
-void sendPorts(int pipe, std::uint16_t port, std::uint16_t secondPort) {
-  const std::uint16_t ports[2] = {port, secondPort};
+void sendPorts(int pipe, std::uint16_t port, std::uint16_t frameOrHttpPort) {
+  const std::uint16_t ports[2] = {port, frameOrHttpPort};
   if (write(pipe, ports, sizeof ports) != sizeof ports) std::abort();
 }
 
@@ -125,18 +125,18 @@
   config.listen.port = 0;
   ChannelLimits limits;
   limits.connectionsPerLeaf = config.connectionsPerLeaf;
-  limits.portOffset = int(leaf.port) - int(leaf.secondPort);
+  limits.portOffset = int(leaf.port) - int(leaf.frameOrHttpPort);
   host.partsPerConnection = 1000;
-  LeafSockets texts(loop,
-                    std::make_unique<FrameConnections>(frameConnectionLimits(host, set, 64), &counters));
-  LeafSockets exchanges(loop, std::make_unique<Channels>(limits, &counters));
-  CompositeLeafSide sides(texts, exchanges);
-  Mixer mixer(loop, counters, sides, set, host, 7);
+  LeafSockets frameSide(loop,
+                        std::make_unique<FrameConnections>(frameConnectionLimits(host, set, 64), &counters));
+  LeafSockets grpcSide(loop, std::make_unique<Channels>(limits, &counters));
+  CompositeLeafSide leafSide(frameSide, grpcSide);
+  Mixer mixer(loop, counters, leafSide, set, host, 7);
   LeafList list;
   list.fullSnapshot = true;
   LeafEntry entry;
   entry.name = "s";
-  entry.address = {"127.0.0.1", leaf.secondPort};
+  entry.address = {"127.0.0.1", leaf.frameOrHttpPort};
   list.entries = {entry};
   mixer.updateLeafList(list, ListKind::complete);
   GrpcServer server(loop, counters, mixer, config, host.classKeyed, host.shards);
@@ -147,31 +147,31 @@
   loop.io.run();
 }
 
-struct Figures {
+struct LoadResult {
   std::uint64_t calls = 0, failed = 0, bytes = 0;
   double seconds = 0, p50 = 0, p99 = 0;  // p50, p99: microseconds
 };
 
-// Keeps `atOnce` calls open over up to four connections for `seconds`. If `pace` is not 0 it limits the
-// calls per second.
-Figures load(std::uint16_t port, const std::string& path, const std::string& script, const std::string& body,
-             int atOnce, double seconds, double pace = 0) {
+// Keeps `concurrency` calls open over up to four connections for `seconds`. `callsPerSecond` is an upper
+// limit; 0: unlimited.
+LoadResult load(std::uint16_t port, const std::string& path, const std::string& script,
+                const std::string& body, int concurrency, double seconds, double callsPerSecond = 0) {
   Loop loop;
   http2::Limits limits;
   limits.streamWindowBytes = 256 * 1024;
   std::vector<std::unique_ptr<GrpcClient>> clients;
-  for (int k = 0; k < std::min(4, atOnce); ++k) {
+  for (int k = 0; k < std::min(4, concurrency); ++k) {
     clients.push_back(std::make_unique<GrpcClient>(loop, port, limits));
     clients.back()->keepMessages = false;
   }
-  Figures out;
+  LoadResult out;
   std::vector<double> times;
   const Micros began = loop.now(), end = began + Micros(seconds * 1e6);
   std::size_t open = 0;
   const http2::Fields fields{{"script", script}, {"grpc-timeout", "30S"}};
   std::uint64_t begun = 0;
   const auto startCall = [&](GrpcClient& client) {
-    const Micros due = pace > 0 ? began + Micros(double(begun) * 1e6 / pace) : 0;
+    const Micros due = callsPerSecond > 0 ? began + Micros(double(begun) * 1e6 / callsPerSecond) : 0;
     ++begun;
     const auto send = [&, c = &client] {
       if (c->call(path, fields, body)) ++open;
@@ -188,7 +188,7 @@
       if (loop.now() < end) boost::asio::post(loop.strand, [&startCall, c] { startCall(*c); });
     };
   loop.io.run_for(std::chrono::milliseconds(50));
-  for (int k = 0; k < atOnce; ++k) startCall(*clients[std::size_t(k) % clients.size()]);
+  for (int k = 0; k < concurrency; ++k) startCall(*clients[std::size_t(k) % clients.size()]);
   while (loop.now() < end || open > 0) {
     loop.io.restart();
     loop.io.run_for(std::chrono::milliseconds(5));
@@ -203,12 +203,12 @@
   return out;
 }
 
-// Sends HTTP queries at a constant rate, whether or not earlier ones are answered (open loop). A query is in
-// time if it is answered within 50 ms of when it was due.
+// The result of steadyHttp(). A query is in time if it is answered within 50 ms of when it was due.
 struct HttpFigures {
-  double share = 0;         // of the queries answered in time
+  double inTimeShare = 0;   // of the queries
   double p50 = 0, p99 = 0;  // microseconds
 };
+// Sends HTTP queries at a constant rate, whether or not earlier ones are answered (open loop).
 HttpFigures steadyHttp(std::uint16_t port, double rate, double seconds) {
   constexpr int kConnections = 100;
   Loop loop;
@@ -233,7 +233,7 @@
   }
   std::ranges::sort(times);
   HttpFigures out;
-  out.share = double(std::ranges::lower_bound(times, 50'000.0) - times.begin()) / all;
+  out.inTimeShare = double(std::ranges::lower_bound(times, 50'000.0) - times.begin()) / all;
   if (!times.empty()) {
     out.p50 = times[times.size() / 2];
     out.p99 = times[times.size() * 99 / 100];
@@ -257,7 +257,7 @@
   for (int k = 0; k < 16; ++k) stream += " message=65536";
   struct Step {
     const char *name, *path, *script;
-    int atOnce;
+    int concurrency;
   };
   const std::vector<Step> steps{
       {"unary 100 B, 1 at once", "/b.B/Unary", "read message=100 status=0", 1},
@@ -266,14 +266,16 @@
       {"16 x 64 KiB, 1 at once", "/b.B/Down", stream.c_str(), 1},
       {"16 x 64 KiB, 100 at once", "/b.B/Down", stream.c_str(), 100}};
   for (const Step& step : steps) {
-    const Figures direct = load(leaf.port, step.path, step.script, small, step.atOnce, seconds);
+    const LoadResult direct = load(leaf.port, step.path, step.script, small, step.concurrency, seconds);
     const double cpu = mixer.cpu();
-    const Figures mixed = load(mixer.port, step.path, step.script, small, step.atOnce, seconds);
+    const LoadResult throughMixer =
+        load(mixer.port, step.path, step.script, small, step.concurrency, seconds);
     const double used = std::max(0.01, mixer.cpu() - cpu);
-    const double a = double(direct.calls) / direct.seconds, b = double(mixed.calls) / mixed.seconds;
+    const double a = double(direct.calls) / direct.seconds,
+                 b = double(throughMixer.calls) / throughMixer.seconds;
     std::printf("%-28s %10.0f %10.0f %8.2f %8.0f %8.0f %11.0f %7lu\n", step.name, a, b, b / a,
-                mixed.p50 - direct.p50, mixed.p99 - direct.p99, double(mixed.calls) / used,
-                (unsigned long)(direct.failed + mixed.failed));
+                throughMixer.p50 - direct.p50, throughMixer.p99 - direct.p99,
+                double(throughMixer.calls) / used, (unsigned long)(direct.failed + throughMixer.failed));
     std::fflush(stdout);
   }
 
@@ -282,31 +284,32 @@
   std::printf("%-44s %10s %10s %10s %12s\n", "HTTP, 2,000 queries/s", "in 50 ms", "p50 us", "p99 us",
               "gRPC calls/s");
   for (int round = 0; round < 3; ++round)
-    // gRPC calls per second: none, 10,000, and as many as 100 concurrent calls give.
-    for (const double pace : {0.0, 10'000.0, -1.0}) {
+    // gRPC calls per second: none, 10,000, and -1: unlimited, as many as 100 concurrent calls give. (For
+    // load() 0 means unlimited.)
+    for (const double callsPerSecond : {0.0, 10'000.0, -1.0}) {
       int pipes[2];
       if (pipe(pipes) != 0) std::abort();
-      const pid_t other = pace == 0 ? 0 : fork();
-      if (pace != 0 && other == 0) {
-        const Figures f = load(mixer.port, "/b.B/Unary", "read message=100 status=0", small, 100,
-                               seconds + 0.4, std::max(0.0, pace));
+      const pid_t other = callsPerSecond == 0 ? 0 : fork();
+      if (callsPerSecond != 0 && other == 0) {
+        const LoadResult f = load(mixer.port, "/b.B/Unary", "read message=100 status=0", small, 100,
+                                  seconds + 0.4, std::max(0.0, callsPerSecond));
         const double rate = double(f.calls - f.failed) / f.seconds;
         _exit(write(pipes[1], &rate, sizeof rate) == sizeof rate ? 0 : 1);
       }
       close(pipes[1]);
       usleep(200'000);
-      const HttpFigures http = steadyHttp(mixer.secondPort, kHttpRate, seconds);
+      const HttpFigures http = steadyHttp(mixer.frameOrHttpPort, kHttpRate, seconds);
       double rate = 0;
-      if (pace != 0) {
+      if (callsPerSecond != 0) {
         if (read(pipes[0], &rate, sizeof rate) != sizeof rate) std::abort();
         waitpid(other, nullptr, 0);
       }
       close(pipes[0]);
       std::printf("%-44s %9.2f%% %10.0f %10.0f %12.0f\n",
-                  pace == 0  ? "alone"
-                  : pace > 0 ? "with 10,000 gRPC calls/s"
-                             : "with 100 gRPC calls always open",
-                  100 * http.share, http.p50, http.p99, rate);
+                  callsPerSecond == 0  ? "alone"
+                  : callsPerSecond > 0 ? "with 10,000 gRPC calls/s"
+                                       : "with 100 gRPC calls always open",
+                  100 * http.inTimeShare, http.p50, http.p99, rate);
       std::fflush(stdout);
     }
 
--- a/src/front/grpc/calls.cpp
+++ b/src/front/grpc/calls.cpp
@@ -13,14 +13,13 @@
 using http2::Session;
 
 // Subtracted from the client's time limit: the client starts its clock before the request arrives here, and
-// the outcome has to travel back.
-constexpr Micros kReturnTime = 5'000;
-// The core gives up on a call at most this long before its deadline. A failure this close to the deadline is
-// reported as DEADLINE_EXCEEDED.
+// the response needs time to reach the client.
+constexpr Micros kNetworkAllowance = 5'000;
+// The core may fail a query up to this long before its deadline because too little time is left. A failure
+// this close to the deadline is reported as DEADLINE_EXCEEDED.
 constexpr Micros kNearDeadline = 30'000;
 // Bytes of a reply that are passed to the session ahead of the socket and the client's window.
 constexpr std::size_t kMaxBufferedReplyBytes = 32UL * 1024;
-constexpr std::size_t kMessagePrefixBytes = 5;  // compressed flag and length
 constexpr const char* kMayHaveRunField = "cometdeal-may-have-run";
 
 http2::Limits limits(const grpc::Config& config) {
@@ -63,14 +62,14 @@
   const bool good = session_.received(bytes, now_);
   if (good) receivedHttp2_ = true;
   while (session_.hasEvents())
-    for (Session::Event& event : session_.takeEvents()) handle(event);
+    for (Session::Event& event : session_.takeEvents()) handleEvent(event);
   return good;
 }
 
 std::string_view GrpcCalls::nextBytes() {
   for (;;) {
     while (session_.hasEvents())
-      for (Session::Event& event : session_.takeEvents()) handle(event);
+      for (Session::Event& event : session_.takeEvents()) handleEvent(event);
     for (const std::int32_t id : std::exchange(dirty_, {})) {
       const auto at = calls_.find(id);
       if (at == calls_.end()) continue;
@@ -88,12 +87,13 @@
   context_->scheduleFlush();
 }
 
-void GrpcCalls::handle(Session::Event& event) {
+void GrpcCalls::handleEvent(Session::Event& event) {
   if (const auto* first = std::get_if<Session::Headers>(&event))
     return beginCall(first->stream, first->fields, first->end);
   if (const auto* data = std::get_if<Session::Data>(&event)) return receiveData(data->stream, data->bytes);
   if (const auto* end = std::get_if<Session::EndStream>(&event)) return requestEnded(end->stream);
-  if (const auto* room = std::get_if<Session::SendBufferEmpty>(&event)) return forwardReply(room->stream);
+  if (const auto* writable = std::get_if<Session::SendBufferEmpty>(&event))
+    return forwardReply(writable->stream);
   if (const auto* closed = std::get_if<Session::Closed>(&event)) {
     if (!calls_.contains(closed->stream)) return;
     context_->counters->add(Counter::clientsGone);
@@ -124,7 +124,7 @@
     session_.respond(id, {{":status", field(":method") == "POST" ? "415" : "405"}}, true);
     return session_.resetWhenFinished(id);
   }
-  if (http2::find(fields, ":too-much"))
+  if (http2::find(fields, http2::kFieldsTruncated))
     return reject(Status::resourceExhausted,
                   "metadata over " + std::to_string(context_->config->maxMetadataBytes) + " bytes");
   const std::string path(field(":path"));
@@ -140,7 +140,7 @@
   }
   Call call;
   call.route = route;
-  call.deadline = std::min(now_ + timeLimit - kReturnTime, drainDeadline_);
+  call.deadline = std::min(now_ + timeLimit - kNetworkAllowance, drainDeadline_);
   NewQuery& q = call.query;
   q.id = name_ + "." + std::to_string(id);
   q.cls = route->cls;
@@ -168,7 +168,7 @@
     if (!key.empty()) q.idempotencyKey = std::string(key);
   }
   call.exchange = std::make_shared<Exchange>(true);
-  call.exchange->atMostOnce = !route->repeat;
+  call.exchange->atMostOnce = !route->mayRepeat;
   call.exchange->streamed = serverStreams(route->kind);
   Fields& head = call.exchange->request.headers;
   for (const auto& one : fields)
@@ -201,17 +201,18 @@
       break;
   }
   request.push(bytes);
-  if (!clientStreams(call.route->kind) && request.buffered() > maxBytes + kMessagePrefixBytes)
+  if (!clientStreams(call.route->kind) && request.buffered() > maxBytes + grpc::kMessagePrefixBytes)
     return fail(id, Status::unimplemented, "more than one message where the method takes one");
-  // A request that exceeds the replay buffer is no longer retained: the call stays with the attempt it has.
+  // A request that exceeds the replay buffer is no longer retained: the call can no longer be retried or
+  // hedged.
   if (request.retained() && clientStreams(call.route->kind) &&
       request.buffered() > context_->config->maxReplayBytes)
     request.release();
   reopenRequestWindow(id, call);
 }
 
-// While the request is retained, all of it counts as consumed. After that the window advances with what the
-// attempt has consumed, plus the replay buffer's size.
+// While the request is retained, the window is reopened as bytes arrive. After that it is reopened as the
+// attempt consumes them, with up to maxReplayBytes received but not consumed.
 void GrpcCalls::reopenRequestWindow(std::int32_t id, Call& call) {
   const MessageStream& request = call.exchange->request;
   const std::uint64_t limit =
@@ -267,7 +268,8 @@
   Fields more{{kMayHaveRunField, answer.mayHaveRun ? "1" : "0"}};
   if (call.deadline - now_ <= kNearDeadline)
     return fail(id, Status::deadlineExceeded, "no answer in time", std::move(more));
-  // The client may retry where that is safe, after the given time; otherwise it is told not to retry (-1).
+  // The client may retry where that is safe, after the given time; a pushback of -1 tells it not to
+  // retry.
   if (refused && !(call.exchange->atMostOnce && answer.mayHaveRun)) {
     if (answer.retryAfter)
       more.emplace_back("grpc-retry-pushback-ms",
@@ -368,8 +370,8 @@
   }
 }
 
-void GrpcCalls::drain(Micros endBy) {
-  drainDeadline_ = endBy;
+void GrpcCalls::drain(Micros answerBy) {
+  drainDeadline_ = answerBy;
   if (!std::exchange(draining_, true)) session_.sendShutdownNotice();
 }
 
--- a/src/front/grpc/calls.hpp
+++ b/src/front/grpc/calls.hpp
@@ -6,8 +6,8 @@
 //   receivingRequest  the request is not complete yet; only for methods whose request is not streamed
 //   submitted         the core has the query
 //   responding        the final answer is known; the reply is being forwarded to the client
-// A call in any state is removed when its deadline passes, its client resets it, the connection ends or the
-// client sends invalid input.
+// A call is removed when its reply has been passed on completely. In any state it is also removed when its
+// deadline passes, its client resets it, the connection ends or the client sends invalid input.
 #pragma once
 
 #include <functional>
@@ -33,8 +33,8 @@
       submit;
   std::function<void(Handle query)> abandon;  // the answer is no longer needed
   std::function<Micros()> now;                // time on the loop's clock
-  // Asks the server to call nextBytes() soon, because of something that happened outside of calls to
-  // GrpcCalls.
+  // Asks the server to call nextBytes() soon, when an event from the core or a leaf server has made output
+  // available.
   std::function<void()> scheduleFlush;
   const grpc::Config* config = nullptr;
   int shards = 1;
@@ -44,7 +44,8 @@
 
 class GrpcCalls {
  public:
-  // `name` of the connection is unique in the process; the ids of queries begin with it.
+  // `name` of the connection is unique in the process; it is the prefix of the query ids, so that these are
+  // unique as well.
   GrpcCalls(std::shared_ptr<const FrontContext> context, std::string name, Micros now);
   ~GrpcCalls();
   GrpcCalls(const GrpcCalls&) = delete;
@@ -66,9 +67,8 @@
   void runDueTimers();
 
   // Graceful shutdown: announces it to the client, and limits the deadline of each call that still arrives to
-  // `endBy`.
-  // sendFinalGoaway() follows when calls that crossed the announcement have arrived.
-  void drain(Micros endBy);
+  // `answerBy`. sendFinalGoaway() follows when calls that crossed the announcement have arrived.
+  void drain(Micros answerBy);
   void sendFinalGoaway();
   std::size_t openCalls() const { return calls_.size(); }
   bool receivedHttp2() const { return receivedHttp2_; }  // the client has sent valid HTTP/2
@@ -97,7 +97,7 @@
     std::optional<TimerQueue<std::int32_t>::Key> deadlineTimer;
   };
 
-  void handle(http2::Session::Event& event);
+  void handleEvent(http2::Session::Event& event);
   void beginCall(std::int32_t id, const Fields& fields, bool end);
   void receiveData(std::int32_t id, const std::string& bytes);
   void requestEnded(std::int32_t id);
@@ -105,13 +105,14 @@
   void onFinalAnswer(std::int32_t id, const FinalAnswer& answer);
   // Passes what has arrived of the reply to the session, as far as its buffer allows.
   void forwardReply(std::int32_t id);
-  // Lets the client send as many more bytes as were forwarded or fit into the replay buffer.
+  // Reopens the client's flow-control window for the request; see the definition for how far.
   void reopenRequestWindow(std::int32_t id, Call& call);
-  // Ends a call that has no answer from a leaf server with this status. The only place that does so.
+  // Ends the call with this status: in trailers if the header fields of the reply were sent, otherwise as
+  // Trailers-Only. `more`: further trailer fields.
   void fail(std::int32_t id, grpc::Status status, std::string_view message, Fields more = {});
   // Removes the call; abandons its query if the core has not answered it yet.
   void removeCall(std::int32_t id);
-  // Has the call processed by the next nextBytes(), and schedules a flush.
+  // Marks the call to be processed in the next nextBytes(), and schedules a flush.
   void markDirty(std::int32_t id);
 
   std::shared_ptr<const FrontContext> context_;
--- a/src/front/grpc/server.cpp
+++ b/src/front/grpc/server.cpp
@@ -29,9 +29,9 @@
     BOOST_ASIO_CORO_REENTER(this) {
       for (;;) {
         BOOST_ASIO_CORO_YIELD c->socket.async_read_some(boost::asio::buffer(c->incoming), *this);
-        if (!c->closing && !server->callsAtNow(*c).received({c->incoming.data(), bytes})) {
+        if (!c->closing && !server->callsWithCurrentTime(*c).received({c->incoming.data(), bytes})) {
           server->counters_.add(Counter::badRequests);
-          logLine("a gRPC client's connection ends: %s", c->calls.closeReason().c_str());
+          logLine("closing gRPC client connection: %s", c->calls.closeReason().c_str());
           c->closing = true;
         }
         server->flush(*c);
@@ -54,8 +54,9 @@
         if (ec == boost::asio::error::operation_aborted) return;
         if (!ec) {
           // At the limit an idle connection is closed in favour of the new one. If there is none, the new one
-          // is closed at once: its client tries another server, whereas in the backlog it would only wait.
-          if (int(server->connections_.size()) < server->config_.maxConnections || server->closeIdle())
+          // is closed at once: its client can then try another server instead of waiting in the backlog.
+          if (int(server->connections_.size()) < server->config_.maxConnections ||
+              server->shedIdleConnection())
             server->addConnection(std::move(*socket));
           else
             server->counters_.add(Counter::clientConnectionsShed);
@@ -63,8 +64,8 @@
         }
         // Usually out of descriptors. The client stays in the backlog: without a pause this would busy-loop.
         server->counters_.add(Counter::acceptFailures);
-        logLine("accept: %s", ec.message().c_str());
-        server->closeIdle();
+        logLine("grpc: accept failed: %s", ec.message().c_str());
+        server->shedIdleConnection();
         BOOST_ASIO_CORO_YIELD {
           server->loop_.deadlines.add(server->loop_.now() + kAcceptPause,
                                       [self = *this]() mutable { self(error_code()); });
@@ -93,12 +94,12 @@
   Acceptor{this}();
 }
 
-GrpcCalls& GrpcServer::callsAtNow(Connection& c) {
+GrpcCalls& GrpcServer::callsWithCurrentTime(Connection& c) {
   c.calls.setNow(loop_.now());
   return c.calls;
 }
 
-bool GrpcServer::closeIdle() {
+bool GrpcServer::shedIdleConnection() {
   Connection* oldest = nullptr;
   for (const Handle h : connections_.all()) {
     Connection* c = connections_.get(h);
@@ -136,7 +137,7 @@
   c.callTimer.emplace(loop_, [this, h] {
     Connection* due = connections_.get(h);
     if (!due) return;
-    callsAtNow(*due).runDueTimers();
+    callsWithCurrentTime(*due).runDueTimers();
     flush(*due);
   });
   if (draining_) c.calls.drain(drainDeadline_);
@@ -160,7 +161,7 @@
   const std::shared_ptr<Connection> c = connections_.getShared(connection.self);
   if (!c || c->closed || c->writing) return;
   for (;;) {
-    const std::string_view bytes = callsAtNow(*c).nextBytes();
+    const std::string_view bytes = callsWithCurrentTime(*c).nextBytes();
     if (bytes.empty()) break;
     error_code ec;
     const std::size_t n = c->socket.write_some(boost::asio::buffer(bytes.data(), bytes.size()), ec);
@@ -208,28 +209,28 @@
 
 void GrpcServer::close(Connection& c) {
   if (c.closed) return;
-  const std::shared_ptr<Connection> keep = connections_.getShared(c.self);
+  const std::shared_ptr<Connection> guard = connections_.getShared(c.self);
   c.closed = true;
   loop_.deadlines.cancel(c.timeout);
   c.callTimer->set(std::nullopt);
   connections_.remove(c.self);
-  callsAtNow(c).connectionEnded();
+  callsWithCurrentTime(c).connectionEnded();
   error_code ignored;
   c.socket.close(ignored);
 }
 
-void GrpcServer::drain(Micros endBy) {
+void GrpcServer::drain(Micros answerBy) {
   draining_ = true;
-  drainDeadline_ = endBy;
+  drainDeadline_ = answerBy;
   for (const Handle h : connections_.all()) {
     Connection& c = *connections_.get(h);
-    callsAtNow(c).drain(endBy);
+    callsWithCurrentTime(c).drain(answerBy);
     flush(c);
   }
   loop_.deadlines.add(loop_.now() + kFinalGoawayDelay, [this] {
     for (const Handle h : connections_.all())
       if (Connection* c = connections_.get(h)) {
-        callsAtNow(*c).sendFinalGoaway();
+        callsWithCurrentTime(*c).sendFinalGoaway();
         flush(*c);
       }
   });
--- a/src/front/grpc/server.hpp
+++ b/src/front/grpc/server.hpp
@@ -25,9 +25,9 @@
   ~GrpcServer();
   void listen();  // throws boost::system::system_error
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
-  // Graceful shutdown: tells clients to use other servers. Open calls continue; the deadline of each call
-  // that still arrives is limited to `endBy`.
-  void drain(Micros endBy);
+  // Graceful shutdown: sends GOAWAY to all clients. Open calls continue; the deadline of each call
+  // that still arrives is limited to `answerBy`.
+  void drain(Micros answerBy);
   // Closes the listener and all connections without open calls.
   void finish();
   bool busy() const;  // some call is open
@@ -42,8 +42,8 @@
     tcp::socket socket;
     GrpcCalls calls;
     Handle self;
-    // `writing`: waiting until the socket is writable. `closing`: all output is written; waiting for the
-    // client to close.
+    // `writing`: waiting until the socket is writable. `closing`: no further input is processed; the
+    // connection is closed once the pending output is written and the client closes, or at the time-out.
     bool closed = false, writing = false, flushScheduled = false, closing = false;
     Micros lastUsedAt = 0;                  // when it was accepted or last had an open call
     std::optional<Alarm> callTimer;         // for GrpcCalls::nextTimer()
@@ -62,9 +62,9 @@
   void updateTimeout(Connection& c);
   void close(Connection& c);
   // Closes the connection that has been without calls for longest. Returns false if there is none.
-  bool closeIdle();
+  bool shedIdleConnection();
   // The connection's calls, with their time set to now.
-  GrpcCalls& callsAtNow(Connection& c);
+  GrpcCalls& callsWithCurrentTime(Connection& c);
 
   Loop& loop_;
   Counters& counters_;
--- a/src/grpc/protocol.cpp
+++ b/src/grpc/protocol.cpp
@@ -7,32 +7,32 @@
 namespace cometdeal::grpc {
 namespace {
 
-// Which side a status blames, as far as an intermediary can know.
-enum class Origin { none, caller, server };
+// Which side caused a status, as far as a proxy can tell.
+enum class Origin { none, client, server };
 struct StatusEntry {
   const char* name;
   Origin origin;
 };
-// A status caused by the caller's request would be the same from any server: it is passed on to the client.
+// A status caused by the client's request would be the same from any server: it is passed on to the client.
 // With a status caused by the server another server may succeed: the attempt counts as failed and may have
 // run.
 constexpr std::array<StatusEntry, 17> kStatuses{{{"OK", Origin::none},
-                                                 {"CANCELLED", Origin::caller},
+                                                 {"CANCELLED", Origin::client},
                                                  {"UNKNOWN", Origin::server},
-                                                 {"INVALID_ARGUMENT", Origin::caller},
+                                                 {"INVALID_ARGUMENT", Origin::client},
                                                  {"DEADLINE_EXCEEDED", Origin::server},
-                                                 {"NOT_FOUND", Origin::caller},
-                                                 {"ALREADY_EXISTS", Origin::caller},
-                                                 {"PERMISSION_DENIED", Origin::caller},
+                                                 {"NOT_FOUND", Origin::client},
+                                                 {"ALREADY_EXISTS", Origin::client},
+                                                 {"PERMISSION_DENIED", Origin::client},
                                                  {"RESOURCE_EXHAUSTED", Origin::server},
-                                                 {"FAILED_PRECONDITION", Origin::caller},
-                                                 {"ABORTED", Origin::caller},
-                                                 {"OUT_OF_RANGE", Origin::caller},
-                                                 {"UNIMPLEMENTED", Origin::caller},
+                                                 {"FAILED_PRECONDITION", Origin::client},
+                                                 {"ABORTED", Origin::client},
+                                                 {"OUT_OF_RANGE", Origin::client},
+                                                 {"UNIMPLEMENTED", Origin::client},
                                                  {"INTERNAL", Origin::server},
                                                  {"UNAVAILABLE", Origin::server},
                                                  {"DATA_LOSS", Origin::server},
-                                                 {"UNAUTHENTICATED", Origin::caller}}};
+                                                 {"UNAUTHENTICATED", Origin::client}}};
 
 constexpr std::size_t kMaxTimeoutDigits = 8;
 struct TimeoutUnit {
@@ -116,7 +116,7 @@
       continue;
     }
     length_ = (length_ << 8) | byte;
-    if (++prefixRead_ < 5) continue;
+    if (++prefixRead_ < int(kMessagePrefixBytes)) continue;
     prefixRead_ = 0;
     if (length_ > maxMessageBytes_) return State::tooLong;
     bodyLeft_ = length_;
@@ -126,12 +126,12 @@
 }
 
 AttemptResult resultOfStatus(Status status) {
-  const bool passes = kStatuses[std::size_t(status)].origin != Origin::server;
-  return {passes ? Outcome::done : Outcome::error, status};
+  const bool passedOn = kStatuses[std::size_t(status)].origin != Origin::server;
+  return {passedOn ? Outcome::done : Outcome::error, status};
 }
 
 // The table of "HTTP to gRPC Status Code Mapping" in the gRPC documentation. A proxy sends 429 or 503 when
-// its server is absent or overloaded: the call has not run.
+// its server is unavailable or overloaded: the call has not run.
 AttemptResult resultOfHttpStatus(int status) {
   switch (status) {
     case 400:
--- a/src/grpc/protocol.hpp
+++ b/src/grpc/protocol.hpp
@@ -35,7 +35,7 @@
   dataLoss = 15,
   unauthenticated = 16,
 };
-// The name of the status, such as "UNAVAILABLE", and the reverse.
+// Conversion between a status and its name, such as "UNAVAILABLE".
 const char* name(Status status);
 std::optional<Status> statusFromName(std::string_view name);
 // Parses the value of `grpc-status`. A code that is not defined gives Status::unknown.
@@ -49,8 +49,11 @@
 // Percent-encodes UTF-8 text for `grpc-message`.
 std::string encodeMessage(std::string_view text);
 
-// Checks the framing of the length-prefixed messages in a body that arrives in pieces. Each message has a
-// prefix of one byte, the compressed flag, and four bytes of length, most significant first.
+// Size of the prefix of a message: one byte, the compressed flag, and four bytes of length.
+inline constexpr std::size_t kMessagePrefixBytes = 5;
+
+// Checks the framing of the length-prefixed messages in a body that arrives in pieces. The length in a
+// message's prefix has its most significant byte first.
 class MessageFrameParser {
  public:
   enum class State { good, tooLong, invalidFlag, unexpectedCompression };
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -13,8 +13,8 @@
 // connection is closed.
 constexpr std::size_t kFieldsAbortFactor = 8;
 constexpr std::size_t kFieldOverheadBytes = 32;  // added for each field, as in RFC 9113, section 6.5.2
-// Credit, in overhead frames, for each stream that ends without an error: a peer that completes streams may
-// also cancel some.
+// Credit, in overhead frames, for each stream that ends without an error: so that a client with normal
+// traffic may cancel some of its streams.
 constexpr double kCompletedStreamCredit = 0.5;
 
 nghttp2_nv pair(const std::pair<std::string, std::string>& field) {
@@ -85,7 +85,7 @@
         Stream& s = at->second;
         const std::string* status = find(s.fields, ":status");
         if (status && status->starts_with('1') && !end) break;
-        if (s.fieldsTooLarge) s.fields.emplace_back(":too-much", "");
+        if (s.fieldsTooLarge) s.fields.emplace_back(kFieldsTruncated, "");
         if (std::exchange(s.headersReceived, true))
           session.events_.push_back(Trailers{id, std::move(s.fields)});
         else
@@ -150,8 +150,8 @@
     }
     return 0;
   }
-  // The library drops a frame unsent. For HEADERS this is usually a stream that could not be opened any more
-  // because of a GOAWAY.
+  // Called when nghttp2 discards a frame instead of sending it. For HEADERS the usual cause is a GOAWAY,
+  // after which the stream can no longer be opened.
   static int notSent(nghttp2_session*, const nghttp2_frame* frame, int, void* self) {
     Session& session = of(self);
     const auto at = session.streams_.find(frame->hd.stream_id);
@@ -172,13 +172,13 @@
     const auto found = session.streams_.find(id);
     if (found == session.streams_.end()) return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
     Stream& s = found->second;
-    const std::size_t n = std::min(maxBytes, s.outgoing.size() - s.outgoingAt);
-    std::copy_n(s.outgoing.data() + s.outgoingAt, n, to);
-    s.outgoingAt += n;
-    if (s.outgoingAt == s.outgoing.size()) {
+    const std::size_t n = std::min(maxBytes, s.outgoing.size() - s.outgoingOffset);
+    std::copy_n(s.outgoing.data() + s.outgoingOffset, n, to);
+    s.outgoingOffset += n;
+    if (s.outgoingOffset == s.outgoing.size()) {
       s.outgoing.clear();
-      s.outgoingAt = 0;
-      if (s.finished) {
+      s.outgoingOffset = 0;
+      if (s.finishCalled) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
         if (s.trailers) {
           *flags |= NGHTTP2_DATA_FLAG_NO_END_STREAM;
@@ -190,9 +190,9 @@
       } else {
         return NGHTTP2_ERR_DEFERRED;
       }
-    } else if (s.outgoingAt * 2 > s.outgoing.size()) {
-      s.outgoing.erase(0, s.outgoingAt);
-      s.outgoingAt = 0;
+    } else if (s.outgoingOffset * 2 > s.outgoing.size()) {
+      s.outgoing.erase(0, s.outgoingOffset);
+      s.outgoingOffset = 0;
     }
     return ssize_t(n);
   }
@@ -236,12 +236,12 @@
 // PING, SETTINGS, PRIORITY, empty DATA and invalid frames. This limits attacks such as HTTP/2 rapid reset.
 // Returns false if the bucket overflows and the connection is terminated.
 bool Session::countOverheadFrame() {
-  overheadLevel_ =
-      std::max(0.0, overheadLevel_ - limits_.overheadFramesPerSecond * double(now_ - overheadLevelAt_) / 1e6);
-  overheadLevelAt_ = now_;
+  overheadLevel_ = std::max(
+      0.0, overheadLevel_ - limits_.overheadFramesPerSecond * double(now_ - overheadLevelTime_) / 1e6);
+  overheadLevelTime_ = now_;
   overheadLevel_ += 1.0;
   if (overheadLevel_ <= limits_.overheadFrameBurst) return true;
-  terminate(Code::enhanceYourCalm, "a flood of resets, pings, settings or empty frames");
+  terminate(Code::enhanceYourCalm, "too many control, empty or invalid frames");
   return false;
 }
 
@@ -268,9 +268,9 @@
 }
 
 std::string_view Session::nextBytes() {
-  if (outputAt_ < output_.size()) return std::string_view(output_).substr(outputAt_);
+  if (outputOffset_ < output_.size()) return std::string_view(output_).substr(outputOffset_);
   output_.clear();
-  outputAt_ = 0;
+  outputOffset_ = 0;
   while (output_.size() < kOutputChunkBytes) {
     const std::uint8_t* bytes = nullptr;
     const ssize_t n = nghttp2_session_mem_send(session_, &bytes);
@@ -286,12 +286,12 @@
 }
 
 void Session::bytesWritten(std::size_t bytes) {
-  outputAt_ += bytes;
+  outputOffset_ += bytes;
   bytesWritten_ += bytes;
 }
 
 bool Session::wantsWrite() const {
-  return outputAt_ < output_.size() || nghttp2_session_want_write(session_);
+  return outputOffset_ < output_.size() || nghttp2_session_want_write(session_);
 }
 
 bool Session::finished() const { return !wantsWrite() && !nghttp2_session_want_read(session_); }
@@ -304,7 +304,7 @@
   const std::int32_t id =
       nghttp2_submit_request(session_, nullptr, list.data(), list.size(), end ? nullptr : &body, nullptr);
   if (id < 0) return std::nullopt;
-  streams_[id].bodyOpen = !end;
+  streams_[id].hasBody = !end;
   return id;
 }
 
@@ -313,21 +313,21 @@
   if (failed_ || at == streams_.end() || std::exchange(at->second.responded, true)) return;
   nghttp2_data_provider body{};
   body.read_callback = Callbacks::read;
-  at->second.bodyOpen = !end;
+  at->second.hasBody = !end;
   const std::vector<nghttp2_nv> list = pairs(fields);
   nghttp2_submit_response(session_, stream, list.data(), list.size(), end ? nullptr : &body);
 }
 
 void Session::write(std::int32_t stream, std::string_view bytes) {
   const auto at = streams_.find(stream);
-  if (failed_ || at == streams_.end() || at->second.finished || bytes.empty()) return;
+  if (failed_ || at == streams_.end() || at->second.finishCalled || bytes.empty()) return;
   at->second.outgoing.append(bytes);
   nghttp2_session_resume_data(session_, stream);
 }
 
 void Session::finish(std::int32_t stream) {
   const auto at = streams_.find(stream);
-  if (failed_ || at == streams_.end() || !at->second.bodyOpen || std::exchange(at->second.finished, true))
+  if (failed_ || at == streams_.end() || !at->second.hasBody || std::exchange(at->second.finishCalled, true))
     return;
   nghttp2_session_resume_data(session_, stream);
 }
@@ -350,7 +350,7 @@
 
 std::size_t Session::buffered(std::int32_t stream) const {
   const auto at = streams_.find(stream);
-  return at == streams_.end() ? 0 : at->second.outgoing.size() - at->second.outgoingAt;
+  return at == streams_.end() ? 0 : at->second.outgoing.size() - at->second.outgoingOffset;
 }
 
 void Session::consumed(std::int32_t stream, std::size_t bytes) {
--- a/src/http2/session.hpp
+++ b/src/http2/session.hpp
@@ -25,6 +25,8 @@
 using Fields = std::vector<std::pair<std::string, std::string>>;
 // The value of the first field with this name, or null.
 const std::string* find(const Fields& fields, std::string_view name);
+// Name of a field that Session appends to fields that exceeded the limit and were truncated. Never sent.
+inline constexpr char kFieldsTruncated[] = ":too-much";
 
 // Error codes of RFC 9113, section 7.
 enum class Code : std::uint32_t {
@@ -64,8 +66,8 @@
  public:
   enum class Role { server, client };
 
-  // The header fields that open a request or response. Informational responses (1xx) are dropped.
-  // If the fields exceed Limits::maxFieldsBytes, the rest is dropped and a field ":too-much" is appended.
+  // The header fields that open a request or response. Informational responses (1xx) are dropped. If the
+  // fields exceed Limits::maxFieldsBytes, the rest is dropped and a field kFieldsTruncated is appended.
   struct Headers {
     std::int32_t stream = 0;
     Fields fields;
@@ -120,7 +122,7 @@
   bool failed() const { return failed_; }
 
   // The next bytes for the socket; empty if there is nothing to send. The view is valid until the next call.
-  // It can cause events.
+  // The call can cause events.
   std::string_view nextBytes();
   // Reports how many of those bytes the socket accepted.
   void bytesWritten(std::size_t bytes);
@@ -149,14 +151,15 @@
 
   void ping();
   // Graceful shutdown of a server, in two steps. sendShutdownNotice() sends a GOAWAY that refuses no stream
-  // yet. goaway(), called when streams that crossed the notice have arrived, names the last stream processed.
+  // yet. goaway(), called when streams that crossed the notice have arrived, carries the id of the last
+  // processed stream.
   void sendShutdownNotice();
   void goaway(Code code = Code::none);
   // Sends a GOAWAY that reports this stream and all later ones as not processed.
   void goawayRefusing(std::int32_t stream);
 
-  // Open streams.
-  std::size_t streams() const { return streams_.size(); }
+  // The number of open streams.
+  std::size_t streamCount() const { return streams_.size(); }
   // The other end's SETTINGS_MAX_CONCURRENT_STREAMS.
   int peerMaxConcurrentStreams() const;
   // Whether the socket has accepted all of the stream's header fields, so that the other end may have acted
@@ -165,10 +168,12 @@
 
  private:
   struct Stream {
-    std::string outgoing;  // body to send; the first outgoingAt bytes are in frames already
-    std::size_t outgoingAt = 0;
-    bool finished = false, headersReceived = false, bodyOpen = false, responded = false, localReset = false,
-         resetWhenFinished = false;
+    std::string outgoing;  // body to send; the first outgoingOffset bytes are in frames already
+    std::size_t outgoingOffset = 0;
+    // `hasBody`: this end sends a body, finished or not. `finishCalled`, `responded`, `resetWhenFinished`:
+    // the function of that name was called. `localReset`: this end has sent RST_STREAM.
+    bool finishCalled = false, headersReceived = false, hasBody = false, responded = false,
+         localReset = false, resetWhenFinished = false;
     std::optional<Fields> trailers;
     Fields fields;  // of the list that is being received
     std::size_t fieldsBytes = 0;
@@ -187,10 +192,10 @@
   std::unordered_map<std::int32_t, Stream> streams_;
   std::vector<std::int32_t> headersInChunk_;  // streams whose HEADERS frame is in the chunk being produced
   std::string output_;
-  std::size_t outputAt_ = 0;
+  std::size_t outputOffset_ = 0;
   std::uint64_t bytesProduced_ = 0, bytesWritten_ = 0;  // totals; written: accepted by the socket
   double overheadLevel_ = 0;                            // fill level of the leaky bucket, in frames
-  std::int64_t overheadLevelAt_ = 0, now_ = 0;          // microseconds
+  std::int64_t overheadLevelTime_ = 0, now_ = 0;        // microseconds
   bool failed_ = false;
   std::string closeReason_;
 };
--- a/src/leaf/grpc/channels.cpp
+++ b/src/leaf/grpc/channels.cpp
@@ -45,16 +45,16 @@
   for (const Handle h : handles) {
     Channel* c = channels_.get(h);
     if (!c) continue;
-    if (c->connected &&
-        entry.startedUnixMs > c->connectedAtMs) {  // connected to an earlier run of the server
-      closeChannel(*c, "its server has restarted", true);
+    if (c->connected && entry.startedUnixMs > c->connectedAtMs) {
+      // Connected to an earlier run of the server.
+      closeChannel(*c, "server restarted", true);
       continue;
     }
     if (entry.state == ServerState::serving && c->address == server.entry.address) continue;
     // No new streams; open ones may finish.
     c->draining = true;
     for (const Call& call : std::exchange(c->waiting, {})) reportEnded(call.attempt, Outcome::connectFailed);
-    if (c->streams.empty()) closeChannel(*c, "its server drains, has moved or was removed", true);
+    if (c->streams.empty()) closeChannel(*c, "server is draining, moved or removed", true);
   }
   eraseIfRemoved(entry.name);
 }
@@ -188,12 +188,13 @@
   }
   if (s.requestFinished) return;
   MessageStream& request = s.exchange->request;
-  if (request.state() == MessageStream::State::failed) {  // the client is gone; the core abandons the attempt
+  if (request.state() == MessageStream::State::failed) {
+    // The client has disconnected; the core abandons the attempt.
     c.session->reset(id, Code::cancel);
     return;
   }
-  if (s.requestSent <
-      request.startOffset()) {  // bytes of it were dropped after a faster attempt had read them
+  if (s.requestSent < request.startOffset()) {
+    // Bytes that this attempt has not read were dropped after a faster attempt had read them.
     c.session->reset(id, Code::cancel);
     if (s.attemptOpen) endWithStatus(s, {Outcome::error, Status::unavailable});
     return;
@@ -324,7 +325,8 @@
     return onHeaders(c, first->stream, std::move(first->fields), first->end);
   if (auto* last = std::get_if<Session::Trailers>(&event))
     return onTrailers(c, last->stream, std::move(last->fields));
-  if (const auto* room = std::get_if<Session::SendBufferEmpty>(&event)) return pumpStream(c, room->stream);
+  if (const auto* writable = std::get_if<Session::SendBufferEmpty>(&event))
+    return pumpStream(c, writable->stream);
   if (const auto* data = std::get_if<Session::Data>(&event)) {
     const auto at = c.streams.find(data->stream);
     if (at == c.streams.end() || !at->second.reply)
@@ -340,8 +342,8 @@
     s.reply->push(data->bytes);
     if (!s.exchange->streamed) {
       c.session->consumed(data->stream, data->bytes.size());
-      if (s.reply->buffered() <= limits_.maxMessageBytes + 5) return;  // 5: the prefix of the message
-      c.session->reset(data->stream, Code::cancel);                    // more than one message
+      if (s.reply->buffered() <= limits_.maxMessageBytes + grpc::kMessagePrefixBytes) return;
+      c.session->reset(data->stream, Code::cancel);  // more than one message
       return onStreamClosed(c, data->stream, {Outcome::error, Status::resourceExhausted});
     }
     return;
@@ -354,7 +356,8 @@
   if (const auto* away = std::get_if<Session::Goaway>(&event)) {
     c.draining = true;
     for (const Call& call : std::exchange(c.waiting, {})) reportEnded(call.attempt, Outcome::connectFailed);
-    if (away->code != Code::none) log("connection to " + c.server + ": GOAWAY, " + http2::name(away->code));
+    if (away->code != Code::none)
+      log("connection to " + c.server + ": received GOAWAY with " + http2::name(away->code));
     return;
   }
   if (std::get_if<Session::Pong>(&event)) timers_.cancel(c.keepaliveTimer);
@@ -369,7 +372,7 @@
     c.session->reset(id, Code::cancel);
     return onStreamClosed(c, id, grpc::resultOfHttpStatus(status ? std::atoi(status->c_str()) : 0));
   }
-  if (http2::find(fields, ":too-much")) {
+  if (http2::find(fields, http2::kFieldsTruncated)) {
     c.session->reset(id, Code::cancel);
     return onStreamClosed(c, id, {Outcome::error, Status::resourceExhausted});
   }
@@ -449,7 +452,7 @@
     switch (due->kind) {
       case Timer::Kind::connect:
         c->connectionTimer.reset();
-        closeChannel(*c, "not established in time", false);
+        closeChannel(*c, "not established within the time-out", false);
         break;
       case Timer::Kind::idle:
         c->connectionTimer.reset();
@@ -508,7 +511,7 @@
   for (const Handle h : channels_.all()) closeChannel(*channels_.get(h), "shutdown", true);
 }
 
-std::size_t Channels::streams() const {
+std::size_t Channels::streamCount() const {
   std::size_t out = 0;
   for (const Handle h : channels_.all()) out += channels_.get(h)->streams.size();
   return out;
--- a/src/standin/frame_leaf.cpp
+++ b/src/standin/frame_leaf.cpp
@@ -15,6 +15,7 @@
 struct FrameLeaf::Connection {
   explicit Connection(tcp::socket s) : socket(std::move(s)) {}
   tcp::socket socket;
+  // Frames from a mixer: D, a call; K, a cancellation; I and U, answered with 200.
   net::FrameReader reader{"DKIU"};
   std::array<char, 16384> incoming;
   std::string outgoing;
@@ -108,17 +109,17 @@
 
 void FrameLeaf::handlePart(const std::shared_ptr<Connection>& c, Part p) {
   ++partsReceived;
-  const Reply answer = script(p);
+  const Reply scripted = script(p);
   const std::string id = p.id;
-  std::size_t index = SIZE_MAX;
+  std::size_t index = SIZE_MAX;  // not recorded
   if (recordParts) {
     index = parts_.size();
     parts_.push_back(std::move(p));
   }
-  if (answer.action == Reply::Action::nothing) return;
-  if (answer.delay <= 0) return reply(c, id, index, answer);
-  loop_.deadlines.add(loop_.now() + answer.delay,
-                      [this, c, id, index, answer] { reply(c, id, index, answer); });
+  if (scripted.action == Reply::Action::nothing) return;
+  if (scripted.delay <= 0) return reply(c, id, index, scripted);
+  loop_.deadlines.add(loop_.now() + scripted.delay,
+                      [this, c, id, index, scripted] { reply(c, id, index, scripted); });
 }
 
 void FrameLeaf::reply(const std::shared_ptr<Connection>& c, const std::string& id, std::size_t index,
--- a/src/standin/frame_leaf.hpp
+++ b/src/standin/frame_leaf.hpp
@@ -22,7 +22,7 @@
   struct Part {  // as received
     std::string id, fields, text;
     int shard = 0;
-    bool fetch = false;          // of a second step
+    bool fetch = false;          // the part belongs to a second step
     std::string answeredShards;  // of a second step: the shards that the first step has answers of
     Micros receivedAt = 0;       // when it was received, on the loop's clock
     Micros cancelledAt = 0;      // when its cancellation was received; 0: not cancelled
--- a/src/standin/grpc_client.cpp
+++ b/src/standin/grpc_client.cpp
@@ -65,8 +65,8 @@
   peer_->flush();
 }
 void GrpcClient::releaseWindow() {
-  holding_ = false;
-  for (const auto& [id, bytes] : std::exchange(held_, {})) peer_->session.consumed(id, bytes);
+  windowHeld_ = false;
+  for (const auto& [id, bytes] : std::exchange(unconsumed_, {})) peer_->session.consumed(id, bytes);
   peer_->flush();
 }
 
@@ -97,8 +97,8 @@
     if (at != calls_.end()) at->second->trailers = last->fields;
   } else if (auto* data = std::get_if<Session::Data>(&event)) {
     const auto at = calls_.find(data->stream);
-    if (holding_)
-      held_[data->stream] += data->bytes.size();
+    if (windowHeld_)
+      unconsumed_[data->stream] += data->bytes.size();
     else
       peer_->session.consumed(data->stream, data->bytes.size());
     if (at == calls_.end()) return;
--- a/src/standin/grpc_client.hpp
+++ b/src/standin/grpc_client.hpp
@@ -44,9 +44,9 @@
   void sendBody(const ResultPtr& result, std::string_view body);
   void finishRequest(const ResultPtr& result);
   void cancel(const ResultPtr& result);
-  // From now on data is read, but its flow control window is not freed.
-  void holdWindow() { holding_ = true; }
-  void releaseWindow();  // frees it, and no longer withholds it
+  // Stops reopening the flow-control windows: the server must stop sending once they are used up.
+  void holdWindow() { windowHeld_ = true; }
+  void releaseWindow();  // reopens them and resumes
 
   std::function<void(const ResultPtr& result)> onEnd;  // the call has ended
   std::function<void(const ResultPtr& result)> onMessage;
@@ -63,9 +63,9 @@
   net::Loop& loop_;
   std::shared_ptr<Http2Peer> peer_;
   std::map<std::int32_t, ResultPtr> calls_;
-  std::map<std::int32_t, std::string> partial_;  // bytes of an incomplete message, by stream
-  std::map<std::int32_t, std::size_t> held_;     // bytes whose window is not freed, by stream
-  bool holding_ = false;
+  std::map<std::int32_t, std::string> partial_;     // bytes of an incomplete message, by stream
+  std::map<std::int32_t, std::size_t> unconsumed_;  // bytes whose window is not freed, by stream
+  bool windowHeld_ = false;
 };
 
 }  // namespace cometdeal::standin
--- a/src/standin/grpc_leaf.cpp
+++ b/src/standin/grpc_leaf.cpp
@@ -63,9 +63,9 @@
   for (const auto& c : all) c->peer->close(reset);
 }
 
-void GrpcLeaf::ping(int number) {
+void GrpcLeaf::ping(int count) {
   for (const auto& c : connections_) {
-    for (int k = 0; k < number; ++k) c->peer->session.ping();
+    for (int k = 0; k < count; ++k) c->peer->session.ping();
     c->peer->flush();
   }
 }
@@ -77,14 +77,14 @@
 std::size_t GrpcLeaf::connectionCount() const { return connections_.size(); }
 std::size_t GrpcLeaf::streamCount() const {
   std::size_t out = 0;
-  for (const auto& c : connections_) out += c->peer->session.streams();
+  for (const auto& c : connections_) out += c->peer->session.streamCount();
   return out;
 }
 
 void GrpcLeaf::handleEvent(const std::shared_ptr<Connection>& c, Session::Event& event) {
   if (auto* first = std::get_if<Session::Headers>(&event)) {
     const std::int32_t id = first->stream;
-    if (id >= c->away) return;
+    if (id >= c->ignoreFrom) return;
     ++callsReceived;
     Call call;
     RecordedCall record;
@@ -108,7 +108,7 @@
       call.recordIndex = recordedCalls_.size();
       recordedCalls_.push_back(std::move(record));
     }
-    c->last = id;
+    c->lastStream = id;
     c->calls[id] = std::move(call);
     return run(c, id);
   }
@@ -116,7 +116,7 @@
   if (const auto* data = std::get_if<Session::Data>(&event)) {
     id = data->stream;
     const auto at = c->calls.find(id);
-    if (at == c->calls.end() || !at->second.deaf) c->peer->session.consumed(id, data->bytes.size());
+    if (at == c->calls.end() || !at->second.windowHeld) c->peer->session.consumed(id, data->bytes.size());
     if (at == c->calls.end()) return;
     Call& call = at->second;
     call.partial += data->bytes;
@@ -134,8 +134,8 @@
   } else if (const auto* end = std::get_if<Session::EndStream>(&event)) {
     id = end->stream;
     if (const auto at = c->calls.find(id); at != c->calls.end()) at->second.requestEnded = true;
-  } else if (const auto* room = std::get_if<Session::SendBufferEmpty>(&event)) {
-    id = room->stream;
+  } else if (const auto* writable = std::get_if<Session::SendBufferEmpty>(&event)) {
+    id = writable->stream;
   } else if (const auto* closed = std::get_if<Session::Closed>(&event)) {
     const auto at = c->calls.find(closed->stream);
     if (at == c->calls.end()) return;
@@ -161,7 +161,7 @@
   Session& session = c->peer->session;
   for (;;) {
     const auto at = c->calls.find(id);
-    if (at == c->calls.end() || at->second.waiting || at->second.over) break;
+    if (at == c->calls.end() || at->second.timerPending || at->second.ended) break;
     Call& call = at->second;
     if (call.steps.empty()) call.steps.push_back("status=0");
     const std::string step = call.steps.front();
@@ -174,14 +174,14 @@
     if (verb == "read") {
       if (!call.requestEnded) break;
     } else if (verb == "wait") {
-      call.waiting = true;
+      call.timerPending = true;
       loop_.deadlines.add(loop_.now() + std::stol(arg) * 1000,
                           [this, weak = std::weak_ptr<Connection>(c), id] {
                             const auto held = weak.lock();
                             if (!held || held->peer->closed()) return;
                             const auto again = held->calls.find(id);
                             if (again == held->calls.end()) return;
-                            again->second.waiting = false;
+                            again->second.timerPending = false;
                             run(held, id);
                             held->peer->flush();
                           });
@@ -191,7 +191,7 @@
       sendHeaders(*c, id, call);
     } else if (verb == "message") {
       sendHeaders(*c, id, call);
-      if (session.buffered(id) > 64UL * 1024) break;  // continues at the event Room
+      if (session.buffered(id) > 64UL * 1024) break;  // continues at the event SendBufferEmpty
       session.write(id, frameMessage(std::string(std::stoul(arg), 'm')));
     } else if (verb == "echo") {
       sendHeaders(*c, id, call);
@@ -208,7 +208,7 @@
       session.write(id, std::string("\0\x40\0\0\0x", 6));
     } else if (verb == "status") {
       const Fields trailers{{"grpc-status", arg}, {"grpc-message", "scripted"}, {"leaf-trailer", "t"}};
-      call.over = true;
+      call.ended = true;
       if (call.headersSent) {
         session.finish(id, trailers);
       } else {
@@ -219,37 +219,37 @@
       session.resetWhenFinished(id);
     } else if (verb == "nostatus") {
       sendHeaders(*c, id, call);
-      call.over = true;
+      call.ended = true;
       session.finish(id, {{"leaf-trailer", "t"}});
     } else if (verb == "http") {
-      call.over = true;
+      call.ended = true;
       session.respond(id, {{":status", arg}}, true);
       session.resetWhenFinished(id);
     } else if (verb == "reset") {
-      call.over = true;
+      call.ended = true;
       session.reset(id, Code(std::stoul(arg)));
     } else if (verb == "refuse") {
-      call.over = true;
+      call.ended = true;
       session.reset(id, Code::refusedStream);
     } else if (verb == "goaway") {
-      call.over = true;
+      call.ended = true;
       // A server that has begun a later call must not declare the calls from this one on as not processed.
-      if (id < c->last) {
+      if (id < c->lastStream) {
         session.reset(id, Code::refusedStream);
       } else {
         session.goawayRefusing(id);
-        c->away = id;
+        c->ignoreFrom = id;
       }
       break;
     } else if (verb == "cut" || verb == "cut-reset") {
-      call.over = true;
+      call.ended = true;
       c->peer->flush();
       c->peer->close(verb == "cut-reset");
       return;
     } else if (verb == "deaf") {
-      call.deaf = true;
+      call.windowHeld = true;
     } else if (verb == "stall") {
-      call.over = true;
+      call.ended = true;
     }
     call.steps.pop_front();
   }
--- a/src/standin/grpc_leaf.hpp
+++ b/src/standin/grpc_leaf.hpp
@@ -2,10 +2,10 @@
 // server does with the call: steps separated by blanks, performed in order. An entry `script-N` applies to
 // attempt N (from 0, taken from grpc-previous-rpc-attempts) and takes precedence over `script`.
 //
-//   wait=MS          waits for so many milliseconds
+//   wait=MS          waits for MS milliseconds
 //   read             waits until the request has ended
 //   headers          sends the headers
-//   message=BYTES    sends one message of so many bytes
+//   message=BYTES    sends one message of BYTES bytes
 //   echo             sends back each message received, until the request ends
 //   status=N         ends the call with status N in trailers; as Trailers-Only if nothing was sent before
 //   http=CODE        answers with an HTTP status instead
@@ -17,7 +17,7 @@
 //   flag             sends a message whose first byte is 7
 //   huge             sends a message prefix with a length of 1 GiB
 //   nostatus         ends the call with trailers that contain no status
-//   deaf             no longer frees the request's flow control window, so that it closes
+//   deaf             stops reopening the request's flow-control window, so that the client must stop sending
 // The default is "read message=3 status=0".
 #pragma once
 
@@ -50,7 +50,7 @@
   std::uint16_t port() const { return port_; }
   void stopListening();
   void closeAll(bool reset);  // closes all open connections; `reset`: with a TCP reset
-  void ping(int number);      // sends so many PINGs on each connection
+  void ping(int count);       // sends `count` PINGs on each connection
 
   const std::deque<RecordedCall>& recordedCalls() const { return recordedCalls_; }
   int timesRun(const std::string& call) const;  // how many attempts of the call were run
@@ -65,20 +65,20 @@
     std::string id;
     bool ran = false;
     std::deque<std::string> steps;
-    bool requestEnded = false, headersSent = false, over = false, waiting = false, deaf = false;
+    bool requestEnded = false, headersSent = false, ended = false, timerPending = false, windowHeld = false;
     std::string partial;  // bytes of an incomplete message
     std::deque<std::string> toEcho;
   };
   struct Connection {
     std::shared_ptr<Http2Peer> peer;
     std::map<std::int32_t, Call> calls;
-    std::int32_t last = 0;          // stream of the latest call received
-    std::int32_t away = INT32_MAX;  // calls from this stream on are ignored
+    std::int32_t lastStream = 0;          // stream of the latest call received
+    std::int32_t ignoreFrom = INT32_MAX;  // calls from this stream on are ignored
   };
 
   void accept();
   void handleEvent(const std::shared_ptr<Connection>& c, http2::Session::Event& event);
-  void run(const std::shared_ptr<Connection>& c, std::int32_t id);  // the script, as far as it can go
+  void run(const std::shared_ptr<Connection>& c, std::int32_t id);  // until a step has to wait
   void sendHeaders(Connection& c, std::int32_t id, Call& call);     // unless they are sent
 
   net::Loop& loop_;
--- a/src/standin/http_client.hpp
+++ b/src/standin/http_client.hpp
@@ -16,7 +16,7 @@
 namespace cometdeal::standin {
 
 // The HTTP request of a query. Every shard has the same weight. The fields of `body` (a JSON object) are
-// included in the request's body. `timeoutSeconds`: the time-out.
+// included in the request's body, `text` as its field `expr`. `timeoutSeconds`: the time-out.
 struct HttpQuery {
   std::string id, cls = "safe", key, idempotencyKey, text = "t", body;
   double timeoutSeconds = 5;
--- a/src/standin/peer.hpp
+++ b/src/standin/peer.hpp
@@ -42,7 +42,7 @@
   std::array<char, 16384> incoming_;
 
  public:
-  http2::Session session;
+  http2::Session session;  // after a change to it, flush() has to be called
 };
 
 }  // namespace cometdeal::standin
--- a/tests/grpc_interop.cpp
+++ b/tests/grpc_interop.cpp
@@ -336,15 +336,15 @@
   }
   // Wait until no call, query, stream or attempt is left in the mixer.
   for (int k = 0; k < 1000; ++k) {
-    bool left = true;
+    bool busy = true;
     std::atomic<bool> checked = false;
     boost::asio::post(loop.strand, [&] {
-      left = server.openCalls() > 0 || mixer.openQueries() > 0 || channels.streams() > 0 ||
-             channels.attempts() > 0;
+      busy = server.openCalls() > 0 || mixer.openQueries() > 0 || channels.streamCount() > 0 ||
+             channels.attemptCount() > 0;
       checked = true;
     });
     while (!checked) std::this_thread::sleep_for(1ms);
-    if (!left) break;
+    if (!busy) break;
     assert(k < 999);
     std::this_thread::sleep_for(10ms);
   }
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -1,6 +1,5 @@
 // gRPC through the mixer, on loopback, in one process: stand-in clients -> front -> core -> leaf side ->
-// stand-in leaf servers. Checks are plain asserts. Events may take up to kMaxWait; only the calls' own
-// deadlines are checked as times.
+// stand-in leaf servers. Events may take up to kMaxWait; only the calls' own deadlines are checked as times.
 #undef NDEBUG
 #include <algorithm>
 #include <cassert>
@@ -161,21 +160,22 @@
   // Checks that no call, attempt, stream or buffered byte is left.
   void checkNothingLeft() {
     const bool good = waitUntil([&] {
-      return server->openCalls() == 0 && mixer->openQueries() == 0 && channels->attempts() == 0 &&
-             channels->streams() == 0 && leafStreams() == 0 && server->bufferedBytes() == 0;
+      return server->openCalls() == 0 && mixer->openQueries() == 0 && channels->attemptCount() == 0 &&
+             channels->streamCount() == 0 && leafStreams() == 0 && server->bufferedBytes() == 0;
     });
     if (!good)
       std::fprintf(stderr,
                    "still open: calls %zu open %zu attempts %zu streams %zu leaf streams %zu bytes %zu\n",
-                   server->openCalls(), mixer->openQueries(), channels->attempts(), channels->streams(),
-                   leafStreams(), server->bufferedBytes());
+                   server->openCalls(), mixer->openQueries(), channels->attemptCount(),
+                   channels->streamCount(), leafStreams(), server->bufferedBytes());
     assert(good);
     assert(counters.value(Counter::defects) == 0);
   }
 };
 
 // Metadata of a call that the stand-in leaf server handles by `steps`, see standin/grpc_leaf.hpp.
-http2::Fields script(const std::string& id, const std::string& steps, const std::string& timeout = "4S") {
+http2::Fields scriptMetadata(const std::string& id, const std::string& steps,
+                             const std::string& timeout = "4S") {
   return {{"call", id}, {"script", steps}, {"grpc-timeout", timeout}};
 }
 // An assert that prints the call's result first if it fails.
@@ -187,7 +187,7 @@
     assert(condition);                                                                            \
   } while (false)
 
-// ---- The protocol's texts, framing and outcomes ----
+// ---- Time-outs, statuses, framing and outcomes ----
 void testProtocol() {
   using namespace grpc;
   assert(parseTimeout("1S") == 1'000'000 && parseTimeout("250m") == 250'000 && parseTimeout("7u") == 7);
@@ -306,14 +306,14 @@
   for (int status = 0; status <= 16; ++status)
     for (const char* form : {"read ", "read message=3 "}) {
       const std::string id = std::string(form) + std::to_string(status);
-      ResultPtr r = client.call("/t.S/Unary", script(id, form + ("status=" + std::to_string(status))),
+      ResultPtr r = client.call("/t.S/Unary", scriptMetadata(id, form + ("status=" + std::to_string(status))),
                                 frameMessage("x"));
       assert(rig.waitForEnd(r));
       CHECK_CALL(r->status == status && r->outcomes == 1, r);
       const bool passes = grpc::resultOfStatus(grpc::Status(status)).outcome == Outcome::done;
       assert(passes ? rig.timesRun(id) == 1 : rig.timesRun(id) >= 2 && rig.timesRun(id) <= 3);
       const std::string once = "once " + id;
-      r = client.call("/t.S/Unsafe", script(once, form + ("status=" + std::to_string(status))),
+      r = client.call("/t.S/Unsafe", scriptMetadata(once, form + ("status=" + std::to_string(status))),
                       frameMessage("x"));
       assert(rig.waitForEnd(r));
       CHECK_CALL(r->status == status && rig.timesRun(once) == 1, r);
@@ -361,10 +361,10 @@
 void testKeyed() {
   MixerRig rig(3);
   GrpcClient client(rig.loop, rig.server->port());
-  ResultPtr r = client.call("/t.S/Keyed", script("no key", "read status=0"), frameMessage("x"));
+  ResultPtr r = client.call("/t.S/Keyed", scriptMetadata("no key", "read status=0"), frameMessage("x"));
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 3 && r->message.find("idem") != std::string::npos, r);
-  http2::Fields fields = script("k", "read reset=2");
+  http2::Fields fields = scriptMetadata("k", "read reset=2");
   fields.emplace_back("idem", "abc");
   r = client.call("/t.S/Keyed", fields, frameMessage("x"));
   assert(rig.waitForEnd(r));
@@ -377,23 +377,24 @@
   GrpcClient client(rig.loop, rig.server->port());
   for (const char* steps : {"stall", "headers stall", "read message=2 stall"})
     for (const char* path : {"/t.S/Unary", "/t.S/Unsafe", "/t.S/Down"}) {
-      ResultPtr r = client.call(path, script(std::string(steps) + path, steps, "400m"), frameMessage("x"));
+      ResultPtr r =
+          client.call(path, scriptMetadata(std::string(steps) + path, steps, "400m"), frameMessage("x"));
       assert(rig.waitForEnd(r));
       CHECK_CALL(r->status == 4 && r->outcomes == 1 && !r->reset &&
                      r->endedAt - r->beganAt <= 400 * ms + kTimingTolerance,
                  r);
     }
   // A deadline that has passed before the call starts.
-  ResultPtr r = client.call("/t.S/Unary", script("short", "read status=0", "1m"), frameMessage("x"));
+  ResultPtr r = client.call("/t.S/Unary", scriptMetadata("short", "read status=0", "1m"), frameMessage("x"));
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 4, r);
   // A request that never ends.
-  r = client.call("/t.S/Unary", script("endless", "read status=0", "200m"), frameMessage("x"), false);
+  r = client.call("/t.S/Unary", scriptMetadata("endless", "read status=0", "200m"), frameMessage("x"), false);
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 4 && r->trailer("cometdeal-may-have-run") == "0" && rig.timesRun("endless") == 0,
              r);
   for (const char* bad : {"5", "S", "1x", "123456789S"}) {
-    r = client.call("/t.S/Unary", script("bad", "read status=0", bad), frameMessage("x"));
+    r = client.call("/t.S/Unary", scriptMetadata("bad", "read status=0", bad), frameMessage("x"));
     assert(rig.waitForEnd(r));
     CHECK_CALL(
         r->status == 3 && r->message.find("grpc-timeout") != std::string::npos && rig.timesRun("bad") == 0,
@@ -405,19 +406,19 @@
 void testStreams() {
   MixerRig rig(2);
   GrpcClient client(rig.loop, rig.server->port());
-  ResultPtr r = client.call("/t.S/Down", script("d", "read message=1 message=2 message=70000 status=0"),
-                            frameMessage("x"));
+  ResultPtr r = client.call(
+      "/t.S/Down", scriptMetadata("d", "read message=1 message=2 message=70000 status=0"), frameMessage("x"));
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 3 && r->messages[2].size() == 70000, r);
   // An error in the trailers after data is passed on with its status and is not retried.
-  r = client.call("/t.S/Down", script("e", "read message=1 message=2 status=14"), frameMessage("x"));
+  r = client.call("/t.S/Down", scriptMetadata("e", "read message=1 message=2 status=14"), frameMessage("x"));
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 14 && r->messages.size() == 2 && rig.timesRun("e") == 1 &&
                  r->trailer("leaf-trailer") == "t",
              r);
   for (const char* broken : {"read message=1 wait=20 reset=2", "read message=1 wait=20 cut",
                              "read message=1 wait=20 cut-reset", "read message=1 nostatus"}) {
-    r = client.call("/t.S/Down", script(broken, broken), frameMessage("x"));
+    r = client.call("/t.S/Down", scriptMetadata(broken, broken), frameMessage("x"));
     assert(rig.waitForEnd(r));
     CHECK_CALL(r->status > 0 && r->outcomes == 1 && rig.timesRun(broken) == 1, r);
   }
@@ -431,7 +432,7 @@
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 1 && rig.timesRun("f") == 2, r);
   // Client streaming, with a message split over several writes.
-  r = client.call("/t.S/Up", script("c", "read message=4 status=0"), frameMessage("a"), false);
+  r = client.call("/t.S/Up", scriptMetadata("c", "read message=4 status=0"), frameMessage("a"), false);
   rig.runFor(20 * ms);
   client.sendBody(r, frameMessage("bb") + frameMessage("ccc").substr(0, 4));
   rig.runFor(20 * ms);
@@ -440,11 +441,11 @@
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 1, r);
   // The server ends the call before the client has finished its request.
-  r = client.call("/t.S/Up", script("early", "message=4 status=0"), frameMessage("a"), false);
+  r = client.call("/t.S/Up", scriptMetadata("early", "message=4 status=0"), frameMessage("a"), false);
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 1, r);
   // Bidirectional streaming.
-  r = client.call("/t.S/Both", script("b", "echo status=0"), "", false);
+  r = client.call("/t.S/Both", scriptMetadata("b", "echo status=0"), "", false);
   for (int k = 1; k <= 5; ++k) {
     client.sendBody(r, frameMessage(std::string(std::size_t(k), 'p')));
     assert(rig.waitUntil([&] { return int(r->messages.size()) == k; }));
@@ -463,17 +464,19 @@
   for (const char* steps : {"stall", "headers stall", "message=1 stall", "read stall"})
     for (const char* path : {"/t.S/Unary", "/t.S/Down", "/t.S/Both", "/t.S/Up"}) {
       const std::string id = std::string(steps) + path;
-      ResultPtr r = client.call(path, script(id, steps), frameMessage("x"), std::string(path) != "/t.S/Both");
+      ResultPtr r =
+          client.call(path, scriptMetadata(id, steps), frameMessage("x"), std::string(path) != "/t.S/Both");
       assert(rig.waitUntil([&] { return rig.timesRun(id) == 1; }));
       client.cancel(r);
       assert(rig.waitUntil([&] { return rig.leafStreams() == 0; }));
     }
   // So does the loss of the client's connection.
   auto other = std::make_unique<GrpcClient>(rig.loop, rig.server->port());
-  other->call("/t.S/Down", script("gone", "message=1 stall"), frameMessage("x"));
+  other->call("/t.S/Down", scriptMetadata("gone", "message=1 stall"), frameMessage("x"));
   assert(rig.waitUntil([&] { return rig.timesRun("gone") == 1; }));
   other.reset();
   rig.checkNothingLeft();
+  // 16 cancelled calls and one that was lost with its connection.
   assert(rig.counters.value(Counter::clientsGone) >= 17);
 }
 
@@ -484,22 +487,26 @@
   slow.holdWindow();
   std::string many = "read";
   for (int k = 0; k < 60; ++k) many += " message=50000";
-  ResultPtr r = slow.call("/t.S/Down", script("slow", many + " status=0"), frameMessage("x"));
+  ResultPtr r = slow.call("/t.S/Down", scriptMetadata("slow", many + " status=0"), frameMessage("x"));
   assert(rig.waitUntil([&] { return r->bytes > 60'000; }));
   rig.runFor(100 * ms);
+  // The window of the stream at the leaf side (64 KiB), the buffer of the session to the client, and an
+  // allowance.
   const std::size_t buffered = rig.server->bufferedBytes();
   if (buffered > 3 * 65536) std::fprintf(stderr, "buffered %zu\n", buffered);
   assert(buffered <= 3 * 65536 && !r->ended);
-  ResultPtr quick = other.call("/t.S/Unary", script("quick", "read message=1 status=0"), frameMessage("x"));
+  ResultPtr quick =
+      other.call("/t.S/Unary", scriptMetadata("quick", "read message=1 status=0"), frameMessage("x"));
   assert(rig.waitForEnd(quick));
   CHECK_CALL(quick->status == 0, quick);
   slow.releaseWindow();
   assert(rig.waitForEnd(r));
   CHECK_CALL(r->status == 0 && r->messages.size() == 60, r);
   // The reverse: a leaf server that does not read stops its client from sending more.
-  ResultPtr up = other.call("/t.S/Both", script("up", "deaf stall"), "", false);
+  ResultPtr up = other.call("/t.S/Both", scriptMetadata("up", "deaf stall"), "", false);
   for (int k = 0; k < 40; ++k) other.sendBody(up, frameMessage(std::string(50'000, 'u')));
   rig.runFor(100 * ms);
+  // The replay buffer, the window of the stream and, as an allowance, one message.
   assert(rig.server->bufferedBytes() < 50'000 + 65536 + 50'000 &&
          other.peer().session.buffered(up->stream) > 1'000'000);
   other.cancel(up);
@@ -520,8 +527,8 @@
   rig.setState(0, ServerState::draining);
   const std::uint64_t before = rig.leaves[0]->callsReceived;
   for (int k = 0; k < 30; ++k) {
-    ResultPtr r =
-        client.call("/t.S/Unary", script("n" + std::to_string(k), "read status=0"), frameMessage("x"));
+    ResultPtr r = client.call("/t.S/Unary", scriptMetadata("n" + std::to_string(k), "read status=0"),
+                              frameMessage("x"));
     assert(rig.waitForEnd(r));
     CHECK_CALL(r->status == 0, r);
   }
@@ -541,7 +548,7 @@
 void testStop() {
   MixerRig rig(1);
   GrpcClient client(rig.loop, rig.server->port());
-  ResultPtr r = client.call("/t.S/Both", script("b", "echo status=0"), frameMessage("x"), false);
+  ResultPtr r = client.call("/t.S/Both", scriptMetadata("b", "echo status=0"), frameMessage("x"), false);
   assert(rig.waitUntil([&] { return r->messages.size() == 1; }));
   rig.server->drain(rig.loop.now() + 3'000 * ms);
   assert(rig.waitUntil([&] { return client.goawayCount == 1; }));
@@ -618,7 +625,7 @@
     assert(bad.goawayCode == http2::Code::enhanceYourCalm || bad.closed());
   };
   flood([&](GrpcClient& bad) {  // rapid reset
-    const ResultPtr r = bad.call("/t.S/Unary", script("rapid", "stall"), frameMessage("x"), false);
+    const ResultPtr r = bad.call("/t.S/Unary", scriptMetadata("rapid", "stall"), frameMessage("x"), false);
     if (r) bad.cancel(r);
   });
   flood([&](GrpcClient& bad) {
@@ -629,7 +636,7 @@
   flood([&](GrpcClient& bad) { bad.peer().writeRaw(emptySettings); });
   {  // empty DATA frames
     GrpcClient bad(rig.loop, rig.server->port());
-    const ResultPtr r = bad.call("/t.S/Unary", script("empty", "stall"), frameMessage("x"), false);
+    const ResultPtr r = bad.call("/t.S/Unary", scriptMetadata("empty", "stall"), frameMessage("x"), false);
     rig.runFor(5 * ms);
     std::string frame("\0\0\0\0\0\0\0\0", 8);
     frame += char(r->stream);
@@ -656,7 +663,7 @@
     read();
     assert(rig.waitUntil([&] { return ended; }, 5'000 * ms));
   }
-  answered(good, "/t.S/Unary", script("still", "read status=0"), frameMessage("x"), 0, "");
+  answered(good, "/t.S/Unary", scriptMetadata("still", "read status=0"), frameMessage("x"), 0, "");
   rig.checkNothingLeft();
 }
 
@@ -668,8 +675,9 @@
   GrpcClient client(rig.loop, rig.server->port());
   std::vector<ResultPtr> all;
   for (int k = 0; k < 40; ++k)
-    all.push_back(client.call(
-        "/t.S/Unary", script("f" + std::to_string(k), "read wait=20 message=1 status=0"), frameMessage("x")));
+    all.push_back(client.call("/t.S/Unary",
+                              scriptMetadata("f" + std::to_string(k), "read wait=20 message=1 status=0"),
+                              frameMessage("x")));
   for (const ResultPtr& r : all) assert(rig.waitForEnd(r) && r->outcomes == 1);
   // Two servers, two connections each, two streams on each: the other calls are rejected or exceed their
   // deadline, and none runs twice.
@@ -680,12 +688,12 @@
   }
   assert(served >= 8);
   for (int k = 0; k < 40; ++k) assert(rig.timesRun("f" + std::to_string(k)) <= 1);
-  // One server stops for good.
+  // One server stops permanently.
   rig.leaves[0]->stopListening();
   rig.leaves[0]->closeAll(true);
   for (int k = 0; k < 10; ++k) {
-    ResultPtr r =
-        client.call("/t.S/Unsafe", script("g" + std::to_string(k), "read status=0"), frameMessage("x"));
+    ResultPtr r = client.call("/t.S/Unsafe", scriptMetadata("g" + std::to_string(k), "read status=0"),
+                              frameMessage("x"));
     assert(rig.waitForEnd(r));
     CHECK_CALL(r->status == 0, r);
   }
@@ -694,7 +702,7 @@
 
 // Mixed calls with injected faults: each gets exactly one outcome, in time; a call that must not be repeated
 // runs at most once; nothing is left at the end.
-void testSoak(int number, unsigned seed) {
+void testSoak(int callCount, unsigned seed) {
   MixerRig rig(4);
   for (const auto& leaf : rig.leaves) leaf->keepMessages = leaf->recordCalls = false;
   std::mt19937 random(seed);
@@ -726,7 +734,7 @@
                                         {"/t.S/Both", "echo status=0", 8, true},
                                         {"/t.S/Both", "echo status=0", 4, false}};
   int weights = 0;
-  for (const CallKind& sort : callKinds) weights += sort.weight;
+  for (const CallKind& kind : callKinds) weights += kind.weight;
   std::vector<std::unique_ptr<GrpcClient>> clients;
   for (int k = 0; k < 4; ++k) clients.push_back(std::make_unique<GrpcClient>(rig.loop, rig.server->port()));
   struct MadeCall {
@@ -744,22 +752,22 @@
   constexpr std::size_t kMaxOpenCalls = 60;
   const Micros timeout = 3'000 * ms;
   int drained = -1;
-  while (int(all.size()) < number) {
+  while (int(all.size()) < callCount) {
     int pick = draw(weights);
-    const CallKind* sort = callKinds.data();
-    while (pick >= sort->weight) pick -= (sort++)->weight;
+    const CallKind* kind = callKinds.data();
+    while (pick >= kind->weight) pick -= (kind++)->weight;
     const std::string id = "c" + std::to_string(all.size());
     http2::Fields fields{
-        {"call", id}, {"script", sort->script}, {"grpc-timeout", "3S"}, {"about", std::to_string(draw(50))}};
+        {"call", id}, {"script", kind->script}, {"grpc-timeout", "3S"}, {"about", std::to_string(draw(50))}};
     GrpcClient& client = *clients[std::size_t(draw(4))];
     const ResultPtr r =
-        client.call(sort->path, fields, frameMessage(std::string(std::size_t(draw(200)), 'x')), sort->end);
+        client.call(kind->path, fields, frameMessage(std::string(std::size_t(draw(200)), 'x')), kind->end);
     assert(r);
     ++open;
-    const std::string path = sort->path;
-    all.push_back({r, id, path == "/t.S/Unsafe" || path == "/t.S/Once", !sort->end, sort->script});
+    const std::string path = kind->path;
+    all.push_back({r, id, path == "/t.S/Unsafe" || path == "/t.S/Once", !kind->end, kind->script});
     // Calls whose request is left open, and a few others, are cancelled some time later.
-    if (!sort->end || draw(40) == 0) {
+    if (!kind->end || draw(40) == 0) {
       all.back().cancelled = true;
       rig.loop.deadlines.add(rig.loop.now() + draw(30) * ms, [&client, r] {
         if (!r->ended) client.cancel(r);
@@ -793,7 +801,7 @@
   std::printf(
       "calls %zu, outcomes %d, after their deadline %d, run twice though unsafe %d, open at the end %zu\n",
       all.size(), outcomes, late, twice,
-      rig.mixer->openQueries() + rig.server->openCalls() + rig.channels->attempts());
+      rig.mixer->openQueries() + rig.server->openCalls() + rig.channels->attemptCount());
   for (const auto& [status, count] : byStatus)
     std::printf("  %-20s %d\n", status < 0 ? "cancelled by client" : grpc::name(grpc::Status(status)), count);
   std::printf(
@@ -805,14 +813,15 @@
 
 // Measures the time from a client's cancel to the reset of the leaf server's stream, in one process with one
 // thread. Prints it and checks no bound.
-void measureCancel(int number) {
+void measureCancel(int callCount) {
   MixerRig rig(2);
   GrpcClient client(rig.loop, rig.server->port());
   std::vector<double> times;
-  for (int k = 0; k < number; ++k) {
+  for (int k = 0; k < callCount; ++k) {
     const std::string id = "t" + std::to_string(k);
-    const ResultPtr r = client.call(k % 2 ? "/t.S/Down" : "/t.S/Unary",
-                                    script(id, k % 2 ? "message=1 stall" : "stall"), frameMessage("x"));
+    const ResultPtr r =
+        client.call(k % 2 ? "/t.S/Down" : "/t.S/Unary",
+                    scriptMetadata(id, k % 2 ? "message=1 stall" : "stall"), frameMessage("x"));
     const bool begun =
         rig.waitUntil([&] { return rig.timesRun(id) >= 1 || r->ended; });  // a hedged attempt may run, too
     CHECK_CALL(begun && !r->ended, r);
@@ -827,8 +836,8 @@
     if (k % 50 == 49) rig.runFor(1'000 * ms);  // stay below the limit on resets (http2::Limits)
   }
   std::ranges::sort(times);
-  std::printf("cancel to the leaf server's reset, %d calls: p50 %.0f us, p99 %.0f us, max %.0f us\n", number,
-              times[times.size() / 2], times[times.size() * 99 / 100], times.back());
+  std::printf("cancel to the leaf server's reset, %d calls: p50 %.0f us, p99 %.0f us, max %.0f us\n",
+              callCount, times[times.size() / 2], times[times.size() * 99 / 100], times.back());
 }
 
 }  // namespace
